--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -3,7 +3,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 #include "packets/agent.h"
 
 namespace anvildrum::packets::agent_tests {
@@ -12,15 +12,15 @@
 constexpr auto kId = std::uint64_t{1};
 constexpr auto kFirstStart = std::uint64_t{1'764'700'000'000};
 constexpr auto kSecondStart = kFirstStart + 9'000;
-constexpr auto kBeatPeriod = milliseconds{750};
+constexpr auto kHeartbeatPeriod = milliseconds{750};
 
 // An agent whose target has told when it started, and has said nine heartbeats.
 auto MakeAgentOfFirstStart() -> Agent {
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 9), kStart);
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 9), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   return agent;
 }
 
@@ -33,10 +33,11 @@
 // no opening for as long as it had run before.
 BOOST_AUTO_TEST_CASE(a_target_that_starts_again_under_its_id_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
-  const auto again = kStart + seconds{3};
-  const auto outcome = TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), again);
+  const auto restarted_at = kStart + seconds{3};
+  const auto outcome =
+      TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), restarted_at);
   BOOST_TEST((outcome == HeartbeatOutcome::kChanged));
-  BOOST_TEST((StateAt(agent, again) == TargetState::kReady));
+  BOOST_TEST((StateAt(agent, restarted_at) == TargetState::kReady));
   BOOST_TEST(agent.target.last.sequence == 1U);
 }
 
@@ -48,7 +49,7 @@
   FromPeer(agent, OpeningOf(7, 0), kStart);
   FromPeer(agent, Data(), kStart);
   BOOST_TEST(agent.at_work == 2U);
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   BOOST_TEST(agent.at_work == 0U);
   BOOST_TEST(agent.offered.empty());
 }
@@ -59,15 +60,16 @@
 BOOST_AUTO_TEST_CASE(flows_that_may_be_of_the_new_start_are_in_doubt) {
   auto agent = MakeAgentOfFirstStart();
   FromPeer(agent, OpeningOf(7, 0), kStart);
-  const auto again = kStart + seconds{10};
-  TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 10), again - seconds{1});
-  FromPeer(agent, OpeningOf(8, 0), again - milliseconds{500});
-  TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 11), again - milliseconds{100});
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), again);
+  const auto restarted_at = kStart + seconds{10};
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 10), restarted_at - seconds{1});
+  FromPeer(agent, OpeningOf(8, 0), restarted_at - milliseconds{500});
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 11),
+                restarted_at - milliseconds{100});
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), restarted_at);
   BOOST_TEST(agent.flows.size() == 1U);
   const auto query =
       FlowQuery{kDesk, 1, {{{kClient.address, 7}, kRoute}, {{kClient.address, 8}, kRoute}}};
-  const auto answer = AnswerQuery(agent, query, again);
+  const auto answer = AnswerQuery(agent, query, restarted_at);
   BOOST_TEST(answer.held.empty());
   BOOST_TEST((answer.unsure == std::vector<std::uint32_t>{1}));
 }
@@ -76,8 +78,9 @@
 // drains. Believed, it would take all openings from a live target.
 BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_the_earlier_start_changes_nothing) {
   auto agent = MakeAgentOfFirstStart();
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
-  const auto late = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 10, true), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
+  const auto late =
+      TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 10, true), kStart);
   BOOST_TEST((late == HeartbeatOutcome::kStale));
   BOOST_TEST((StateAt(agent, kStart) == TargetState::kReady));
 }
@@ -87,25 +90,25 @@
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 10, true), kStart);
-  const auto outcome = TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 10, true), kStart);
+  const auto outcome = TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   BOOST_TEST((outcome == HeartbeatOutcome::kChanged));
   BOOST_TEST((StateAt(agent, kStart) == TargetState::kReady));
-  BOOST_TEST(
-      (TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 11), kStart) == HeartbeatOutcome::kStale));
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 11), kStart) ==
+              HeartbeatOutcome::kStale));
 }
 
 // A target leaves, and starts again later under the id that it had.
 BOOST_AUTO_TEST_CASE(an_id_that_has_left_may_come_back) {
   auto agent = MakeAgentOfFirstStart();
   BOOST_TEST(TakeLeave(agent, kId, kStart));
-  const auto again = kStart + seconds{3};
-  BOOST_TEST(
-      (TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 99), again) == HeartbeatOutcome::kStale));
-  BOOST_TEST(
-      (TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), again) == HeartbeatOutcome::kChanged));
-  BOOST_TEST((StateAt(agent, again) == TargetState::kReady));
-  BOOST_TEST(TakeLeave(agent, kId, again));
+  const auto restarted_at = kStart + seconds{3};
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 99), restarted_at) ==
+              HeartbeatOutcome::kStale));
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), restarted_at) ==
+              HeartbeatOutcome::kChanged));
+  BOOST_TEST((StateAt(agent, restarted_at) == TargetState::kReady));
+  BOOST_TEST(TakeLeave(agent, kId, restarted_at));
 }
 
 // The leave of an earlier start comes late, when the target has started again. A leave names the id
@@ -114,22 +117,22 @@
 // drains, so that it is given no opening, but keeps its flows until it falls silent.
 BOOST_AUTO_TEST_CASE(a_leave_that_may_be_of_an_earlier_start_resets_no_flow) {
   auto agent = MakeAgentOfFirstStart();
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   BOOST_TEST(TakeLeave(agent, kId, kStart));
   const auto later = kStart + agent.policy.leave_for;
   BOOST_TEST((StateAt(agent, later) == TargetState::kDraining));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), later)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
-  const auto next = kStart + kBeatPeriod;
-  BOOST_TEST(
-      (TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 2), next) == HeartbeatOutcome::kChanged));
+  const auto next = kStart + kHeartbeatPeriod;
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 2), next) ==
+              HeartbeatOutcome::kChanged));
   BOOST_TEST((StateAt(agent, next) == TargetState::kReady));
 }
 
 // The same, and the leave was the live start's own.
 BOOST_AUTO_TEST_CASE(a_doubted_leave_is_believed_once_the_target_is_silent) {
   auto agent = MakeAgentOfFirstStart();
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   NoteEvent(agent.stall, kStart);
   TakeLeave(agent, kId, kStart);
   const auto silent = kStart + agent.policy.silent_for + milliseconds{1};
@@ -143,9 +146,9 @@
 // on to the others at once.
 BOOST_AUTO_TEST_CASE(a_leave_long_after_the_start_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   const auto later = kStart + agent.policy.late_for;
-  TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 2, true), later);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 2, true), later);
   BOOST_TEST(TakeLeave(agent, kId, later));
   BOOST_TEST((StateAt(agent, later + agent.policy.leave_for) == TargetState::kAbsent));
 }
@@ -159,12 +162,12 @@
   agent.service = kDesk;
   agent.started_at = kStart;
   NoteEvent(agent.stall, kStart);
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   TakeLeave(agent, kId, kStart);
   const auto later = kStart + agent.policy.leave_for;
   BOOST_TEST((StateAt(agent, later) == TargetState::kUnknown));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
-  TakeHeartbeat(agent, BeatOf(kId + 1, kSecondStart, 9), later);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId + 1, kSecondStart, 9), later);
   BOOST_TEST((StateAt(agent, later) == TargetState::kReady));
 }
 
@@ -173,9 +176,9 @@
 BOOST_AUTO_TEST_CASE(a_late_leave_across_a_change_of_service_resets_no_flow) {
   auto agent = MakeAgentOfFirstStart();
   ChangeService(agent, kMapper, kStart);
-  auto beat = BeatOf(kId, kSecondStart, 1);
-  beat.service = kMapper;
-  TakeHeartbeat(agent, beat, kStart);
+  auto heartbeat = MakeHeartbeatWithStart(kId, kSecondStart, 1);
+  heartbeat.service = kMapper;
+  TakeHeartbeat(agent, heartbeat, kStart);
   TakeLeave(agent, kId, kStart);
   BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kDraining));
 }
@@ -184,12 +187,14 @@
 // time. It goes on saying heartbeats and the earlier one does not: the second one is believed.
 BOOST_AUTO_TEST_CASE(a_later_start_by_a_clock_that_was_set_back_is_believed_when_it_goes_on) {
   auto agent = MakeAgentOfFirstStart();
-  const auto before = kFirstStart - 30'000;
-  const auto again = kStart + seconds{3};
-  BOOST_TEST((TakeHeartbeat(agent, BeatOf(kId, before, 1), again) == HeartbeatOutcome::kStale));
-  const auto second = TakeHeartbeat(agent, BeatOf(kId, before, 2), again + kBeatPeriod);
+  const auto earlier_ms = kFirstStart - 30'000;
+  const auto restarted_at = kStart + seconds{3};
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, earlier_ms, 1), restarted_at) ==
+              HeartbeatOutcome::kStale));
+  const auto second = TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, earlier_ms, 2),
+                                    restarted_at + kHeartbeatPeriod);
   BOOST_TEST((second == HeartbeatOutcome::kChanged));
-  BOOST_TEST(agent.target.last.incarnation.started_ms.value_or(0) == before);
+  BOOST_TEST(agent.target.last.incarnation.started_ms.value_or(0) == earlier_ms);
   BOOST_TEST(agent.flows.empty());
 }
 
@@ -199,7 +204,8 @@
   TakeLeave(agent, kId, kStart);
   for (auto sequence = std::uint64_t{10}; sequence < 14; ++sequence) {
     const auto at = kStart + milliseconds{sequence};
-    const auto outcome = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, sequence), at);
+    const auto outcome =
+        TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, sequence), at);
     BOOST_TEST((outcome == HeartbeatOutcome::kStale));
   }
   BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kAbsent));
@@ -211,11 +217,12 @@
   auto agent = MakeAgentOfFirstStart();
   auto now = kStart;
   for (auto round = std::uint64_t{1}; round < 8; ++round) {
-    now += kBeatPeriod / 2;
-    const auto other = TakeHeartbeat(agent, BeatOf(kId, kFirstStart - 5, round, true), now);
+    now += kHeartbeatPeriod / 2;
+    const auto other =
+        TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart - 5, round, true), now);
     BOOST_TEST((other == HeartbeatOutcome::kStale));
-    now += kBeatPeriod / 2;
-    const auto own = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 9 + round), now);
+    now += kHeartbeatPeriod / 2;
+    const auto own = TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 9 + round), now);
     BOOST_TEST((own == HeartbeatOutcome::kUnchanged));
   }
   BOOST_TEST((StateAt(agent, now) == TargetState::kReady));
@@ -225,12 +232,15 @@
 // The target's own are behind it for ever, and would leave it without openings.
 BOOST_AUTO_TEST_CASE(a_sequence_that_ran_ahead_does_not_silence_the_target) {
   auto agent = MakeAgentOfFirstStart();
-  TakeHeartbeat(agent, BeatOf(kId, kFirstStart, std::uint64_t{1} << 63U, true), kStart);
-  const auto first = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 10), kStart + kBeatPeriod);
+  TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, std::uint64_t{1} << 63U, true),
+                kStart);
+  const auto first =
+      TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 10), kStart + kHeartbeatPeriod);
   BOOST_TEST((first == HeartbeatOutcome::kStale));
-  const auto second = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, 11), kStart + 2 * kBeatPeriod);
+  const auto second = TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, 11),
+                                    kStart + 2 * kHeartbeatPeriod);
   BOOST_TEST((second == HeartbeatOutcome::kChanged));
-  BOOST_TEST((StateAt(agent, kStart + 2 * kBeatPeriod) == TargetState::kReady));
+  BOOST_TEST((StateAt(agent, kStart + 2 * kHeartbeatPeriod) == TargetState::kReady));
 }
 
 // A target that does not tell its start begins again under its id.
@@ -238,11 +248,12 @@
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, Beat(kId, 500), kStart);
+  TakeHeartbeat(agent, MakeHeartbeat(kId, 500), kStart);
   FromPeer(agent, Data(), kStart);
-  const auto again = kStart + seconds{3};
-  BOOST_TEST((TakeHeartbeat(agent, Beat(kId, 1), again) == HeartbeatOutcome::kStale));
-  const auto second = TakeHeartbeat(agent, Beat(kId, 2), again + kBeatPeriod);
+  const auto restarted_at = kStart + seconds{3};
+  BOOST_TEST(
+      (TakeHeartbeat(agent, MakeHeartbeat(kId, 1), restarted_at) == HeartbeatOutcome::kStale));
+  const auto second = TakeHeartbeat(agent, MakeHeartbeat(kId, 2), restarted_at + kHeartbeatPeriod);
   BOOST_TEST((second == HeartbeatOutcome::kChanged));
   BOOST_TEST(agent.at_work == 0U);
 }
@@ -251,7 +262,7 @@
 BOOST_AUTO_TEST_CASE(former_starts_that_are_remembered_are_bounded) {
   auto agent = MakeAgentOfFirstStart();
   for (auto start = std::uint64_t{1}; start < 1'000; ++start) {
-    TakeHeartbeat(agent, BeatOf(start % 7, kFirstStart + start, 1), kStart);
+    TakeHeartbeat(agent, MakeHeartbeatWithStart(start % 7, kFirstStart + start, 1), kStart);
     TakeLeave(agent, 1'000 + start, kStart);
   }
   BOOST_TEST(agent.target.retired.size() <= kMostRetired);
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 #include "packets/agent.h"
 
 namespace anvildrum::packets::agent_tests {
@@ -43,7 +43,7 @@
 // A rush of copies: each opening is answered by two targets, and its client goes on with one. Here
 // nobody goes on; counted as load for as long as the target holds them, these flows would keep a
 // target without any work closed for openings.
-BOOST_AUTO_TEST_CASE(openings_that_nobody_goes_on_with_make_room_again) {
+BOOST_AUTO_TEST_CASE(openings_that_no_client_continues_stop_counting_as_load) {
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 8; ++port) {
     FromPeer(agent, OpeningOf(port, 0), kStart);
@@ -157,7 +157,7 @@
 }
 
 // A flow opens here and its client asks. False where the opening is not given to the target.
-auto OpenAndAsk(Agent& agent, std::uint16_t port, base::TimePoint now) -> bool {
+auto OpenAndSendRequest(Agent& agent, std::uint16_t port, base::TimePoint now) -> bool {
   const auto opening = OpeningOf(port, 0);
   if (!std::holds_alternative<DeliverToTarget>(FromPeer(agent, opening, now))) return false;
   auto answer = OpeningAnswer(7);
@@ -171,8 +171,8 @@
 }
 
 // A part of a request comes and is acknowledged, and its client gives up.
-auto LeaveHalfway(Agent& agent, std::uint16_t port, base::TimePoint now) -> void {
-  OpenAndAsk(agent, port, now);
+auto AbandonRequest(Agent& agent, std::uint16_t port, base::TimePoint now) -> void {
+  OpenAndSendRequest(agent, port, now);
   auto acknowledgement = Reply(0);
   acknowledgement.destination.port = port;
   FromTarget(agent, acknowledgement, now);
@@ -182,10 +182,10 @@
 // stays idle, and the agent would refuse openings for as long as it remembers the flows.
 BOOST_AUTO_TEST_CASE(requests_whose_clients_left_do_not_close_an_idle_target) {
   auto agent = MakeAgent();
-  for (auto port = std::uint16_t{1}; port <= 8; ++port) LeaveHalfway(agent, port, kStart);
+  for (auto port = std::uint16_t{1}; port <= 8; ++port) AbandonRequest(agent, port, kStart);
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(20, 0), kStart)));
   const auto later = kStart + agent.policy.overtaken_for + milliseconds{100};
-  TakeHeartbeat(agent, Beat(1, 2), later);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 2), later);
   ForgetQuiet(agent, later);
   const auto trial = OpeningOf(21, 0);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, trial, later)));
@@ -224,9 +224,9 @@
   auto given = 0;
   auto now = kStart;
   for (auto port = std::uint16_t{1}; port <= 1000; ++port, now += milliseconds{10}) {
-    if (port % 50 == 1) TakeHeartbeat(agent, Beat(1, 1 + port), now);
+    if (port % 50 == 1) TakeHeartbeat(agent, MakeHeartbeat(1, 1 + port), now);
     if (port % 100 == 1) ForgetQuiet(agent, now);
-    if (OpenAndAsk(agent, port, now)) ++given;
+    if (OpenAndSendRequest(agent, port, now)) ++given;
   }
   BOOST_TEST(given >= 8);
   BOOST_TEST(given <= 8 + 10);
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 #include "packets/agent.h"
 #include "packets/hello.h"
 
@@ -12,7 +12,7 @@
 }
 
 // Whether it can prove something; the process has run without a stall until then.
-auto Settles(Agent agent, base::TimePoint now) -> bool {
+auto IsSettled(Agent agent, base::TimePoint now) -> bool {
   agent.stall = {};
   return AnswerQuery(agent, QueryOf(1), now).settled;
 }
@@ -26,7 +26,7 @@
   BOOST_TEST(answer.token == 7U);
   BOOST_TEST(answer.unsure.empty());
   BOOST_TEST(answer.settled);
-  BOOST_TEST(answer.peers_digest == HelloOf({kOwn, kOther}).digest);
+  BOOST_TEST(answer.peers_digest == MakeHello({kOwn, kOther}).digest);
   BOOST_TEST(answer.held.empty());
   BOOST_TEST(answer.unsure.empty());
 }
@@ -44,38 +44,38 @@
 BOOST_AUTO_TEST_CASE(nothing_is_proved_while_an_agent_may_be_missing) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
-  BOOST_TEST(!Settles(agent, kStart));
-  BOOST_TEST(Settles(agent, settled));
-  Greet(agent, kBalancer + 1, HelloOf({kOwn, kOther}, false), settled);
-  BOOST_TEST(!Settles(agent, settled));
+  BOOST_TEST(!IsSettled(agent, kStart));
+  BOOST_TEST(IsSettled(agent, settled));
+  DeliverHello(agent, kBalancer + 1, MakeHello({kOwn, kOther}, false), settled);
+  BOOST_TEST(!IsSettled(agent, settled));
 }
 
 // Targets are replaced one a second while a failure domain is off: each second an agent comes and
 // another one goes. The one that goes leaves nothing unknown, and flows are proved lost meanwhile.
-BOOST_AUTO_TEST_CASE(an_agent_that_goes_unsettles_nobody_and_one_that_comes_does) {
+BOOST_AUTO_TEST_CASE(the_peer_list_stays_settled_when_an_agent_leaves_but_not_when_one_joins) {
   auto agent = MakeAgent();
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther, kOther + 1}), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 1}), kStart);
   const auto settled = kStart + agent.policy.settle_for;
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}), settled);
-  BOOST_TEST(Settles(agent, settled));
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther, kOther + 2}), settled);
-  BOOST_TEST(!Settles(agent, settled));
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}), settled);
+  BOOST_TEST(IsSettled(agent, settled));
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 2}), settled);
+  BOOST_TEST(!IsSettled(agent, settled));
   // One of two that changes places with another is one that comes.
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther + 3}), settled + agent.policy.settle_for);
-  BOOST_TEST(!Settles(agent, settled + agent.policy.settle_for));
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther + 3}), settled + agent.policy.settle_for);
+  BOOST_TEST(!IsSettled(agent, settled + agent.policy.settle_for));
 }
 
 // A hello with another list has come, and the question follows before the agent's next check.
 BOOST_AUTO_TEST_CASE(a_question_between_checks_counts_the_hellos_that_have_come) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
-  TakeHello(agent, kBalancer, HelloOf({kOwn}), settled);
+  TakeHello(agent, kBalancer, MakeHello({kOwn}), settled);
   BOOST_TEST(agent.peers_stale);
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.settled);
-  BOOST_TEST(answer.peers_digest == HelloOf({kOwn}).digest);
+  BOOST_TEST(answer.peers_digest == MakeHello({kOwn}).digest);
   // Not at each question: a rush of hellos and questions would take all of a small machine.
-  TakeHello(agent, kBalancer, HelloOf({kOwn, kOther}), settled);
+  TakeHello(agent, kBalancer, MakeHello({kOwn, kOther}), settled);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), settled + milliseconds{5}).settled);
 }
 
@@ -83,29 +83,29 @@
 // told of within a tenth of that.
 BOOST_AUTO_TEST_CASE(where_balancers_greet_less_often_agents_settle_later) {
   auto agent = MakeAgent();
-  auto hello = HelloOf({kOwn, kOther});
+  auto hello = MakeHello({kOwn, kOther});
   hello.every = seconds{2};
-  Greet(agent, kBalancer, hello, kStart);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
-  BOOST_TEST(Settles(agent, kStart + milliseconds{500}));
-  BOOST_TEST(Settles(agent, kStart + seconds{8}));  // four of its periods
-  BOOST_TEST(!Settles(agent, kStart + seconds{8} + milliseconds{1}));
+  DeliverHello(agent, kBalancer, hello, kStart);
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(IsSettled(agent, kStart + milliseconds{500}));
+  BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // four of its periods
+  BOOST_TEST(!IsSettled(agent, kStart + seconds{8} + milliseconds{1}));
 }
 
 BOOST_AUTO_TEST_CASE(an_agent_that_is_not_among_those_it_is_told_of_proves_nothing) {
   auto agent = MakeAgent();
-  Greet(agent, kBalancer, HelloOf({kOther, kOther + 1}, true), kStart);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
+  DeliverHello(agent, kBalancer, MakeHello({kOther, kOther + 1}, true), kStart);
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
 }
 
 // One balancer knows an agent that the asking one does not: their digests differ, and the balancer
 // that asks finds that it has not asked them all.
 BOOST_AUTO_TEST_CASE(an_agent_that_one_balancer_knows_counts_for_all) {
   auto agent = MakeAgent();
-  Greet(agent, kBalancer + 1, HelloOf({kOther + 5}, true), kStart);
+  DeliverHello(agent, kBalancer + 1, MakeHello({kOther + 5}, true), kStart);
   const auto settled = kStart + agent.policy.settle_for;
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
-  BOOST_TEST(answer.peers_digest == HelloOf({kOwn, kOther, kOther + 5}).digest);
+  BOOST_TEST(answer.peers_digest == MakeHello({kOwn, kOther, kOther + 5}).digest);
 }
 
 // The address went from mapper to desk. The agent still knew mapper's agents, itself alone, took
@@ -113,8 +113,8 @@
 BOOST_AUTO_TEST_CASE(an_agent_whose_service_changed_proves_nothing_until_it_knows_its_others) {
   auto agent = MakeAgent();
   ChangeService(agent, kMapper, kStart);
-  BOOST_TEST(!Greet(agent, kBalancer, HelloOf({kOwn}), kStart));
-  BOOST_TEST(Greet(agent, kBalancer, Hello{kMapper, {{kOwn, kMapper}}, true}, kStart));
+  BOOST_TEST(!DeliverHello(agent, kBalancer, MakeHello({kOwn}), kStart));
+  BOOST_TEST(DeliverHello(agent, kBalancer, Hello{kMapper, {{kOwn, kMapper}}, true}, kStart));
   ChangeService(agent, kDesk, kStart + seconds{1});
   const auto answer = AnswerQuery(agent, QueryOf(1), kStart + seconds{2});
   BOOST_TEST(!answer.settled);
@@ -133,13 +133,13 @@
     return AnswerQuery(agent, QueryOf(1), now).unsure.empty();
   };
   BOOST_TEST(!knows(kStart));  // it has not heard of its target yet
-  TakeHeartbeat(agent, Beat(1, 40), kStart);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 40), kStart);
   BOOST_TEST(!knows(kStart));
   auto runs_long = agent;
-  TakeHeartbeat(runs_long, Beat(1, 140), kStart + agent.policy.flow_age);
+  TakeHeartbeat(runs_long, MakeHeartbeat(1, 140), kStart + agent.policy.flow_age);
   const auto older = kStart + agent.policy.flow_age + milliseconds{1};
   BOOST_TEST(AnswerQuery(runs_long, QueryOf(1), older).unsure.empty());
-  TakeHeartbeat(agent, Beat(2, 1), kStart + seconds{1});
+  TakeHeartbeat(agent, MakeHeartbeat(2, 1), kStart + seconds{1});
   BOOST_TEST(knows(kStart + seconds{1}));
 }
 
@@ -148,12 +148,12 @@
 BOOST_AUTO_TEST_CASE(an_agent_whose_earlier_process_was_known_does_not_know_its_targets_flows) {
   auto agent = MakeAgent();
   BOOST_TEST(AnswerQuery(agent, QueryOf(1), kStart).unsure.empty());
-  auto hello = HelloOf({kOwn, kOther});
+  auto hello = MakeHello({kOwn, kOther});
   hello.restarted = {kOther};
-  Greet(agent, kBalancer, hello, kStart);
+  DeliverHello(agent, kBalancer, hello, kStart);
   BOOST_TEST(AnswerQuery(agent, QueryOf(1), kStart).unsure.empty());
   hello.restarted = {kOther, kOwn};
-  Greet(agent, kBalancer, hello, kStart);
+  DeliverHello(agent, kBalancer, hello, kStart);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart).unsure.empty());
 }
 
@@ -162,9 +162,9 @@
 BOOST_AUTO_TEST_CASE(a_target_that_has_said_little_started_after_an_agent_that_runs_for_long) {
   auto agent = MakeAgent();
   agent.stall.running_since = kStart;
-  TakeHeartbeat(agent, Beat(2, 3), kStart + milliseconds{500});
+  TakeHeartbeat(agent, MakeHeartbeat(2, 3), kStart + milliseconds{500});
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + milliseconds{500}).unsure.empty());
-  TakeHeartbeat(agent, Beat(3, 3), kStart + seconds{10});
+  TakeHeartbeat(agent, MakeHeartbeat(3, 3), kStart + seconds{10});
   BOOST_TEST(AnswerQuery(agent, QueryOf(1), kStart + seconds{10}).unsure.empty());
 }
 
@@ -176,7 +176,8 @@
   BOOST_TEST(AnswerQuery(agent, QueryOf(2), kStart).unsure.empty());
   FromPeer(agent, OpeningOf(2, 0), kStart);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(2), kStart).unsure.empty());
-  TakeHeartbeat(agent, Beat(2, 1), kStart + seconds{1});  // the next target holds nothing yet
+  TakeHeartbeat(agent, MakeHeartbeat(2, 1),
+                kStart + seconds{1});  // the next target holds nothing yet
   BOOST_TEST(AnswerQuery(agent, QueryOf(2), kStart + seconds{1}).unsure.empty());
 }
 
@@ -232,26 +233,26 @@
 BOOST_AUTO_TEST_CASE(hellos_count_together_at_the_next_check) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
-  BOOST_TEST(Settles(agent, settled));
-  TakeHello(agent, kBalancer + 1, HelloOf({kOwn, kOther, kOther + 1}), settled);
+  BOOST_TEST(IsSettled(agent, settled));
+  TakeHello(agent, kBalancer + 1, MakeHello({kOwn, kOther, kOther + 1}), settled);
   BOOST_TEST(agent.peers.size() == 2U);
-  BOOST_TEST(!Settles(agent, settled));
+  BOOST_TEST(!IsSettled(agent, settled));
   RefreshPeers(agent, settled);
   BOOST_TEST(agent.peers.size() == 3U);
-  BOOST_TEST(Settles(agent, settled + agent.policy.settle_for));
+  BOOST_TEST(IsSettled(agent, settled + agent.policy.settle_for));
 }
 
 // The list is sent once; after that its digest says that it is the same. An agent that was started
 // again, or missed a change, has to get the list anew.
 BOOST_AUTO_TEST_CASE(a_digest_stands_for_a_list_that_the_agent_holds) {
   auto agent = MakeAgent();
-  const auto whole = HelloOf({kOwn, kOther});
+  const auto full_hello = MakeHello({kOwn, kOther});
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).wanted_list == 0U);
-  auto brief = Hello{kDesk, {}, true, false, whole.digest};
-  Greet(agent, kBalancer, brief, kStart);
+  auto brief = Hello{kDesk, {}, true, false, full_hello.digest};
+  DeliverHello(agent, kBalancer, brief, kStart);
   BOOST_TEST(agent.peers.size() == 2U);
   ++brief.digest;
-  Greet(agent, kBalancer, brief, kStart);
+  DeliverHello(agent, kBalancer, brief, kStart);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).wanted_list == brief.digest);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, kStart).wanted_list == 0U);
 }
@@ -261,22 +262,22 @@
 BOOST_AUTO_TEST_CASE(a_list_that_many_balancers_name_is_asked_for_once) {
   constexpr auto balancers = Address{91};
   auto agent = MakeAgent();
-  const auto next = HelloOf({kOwn, kOther, kOther + 1});
+  const auto next = MakeHello({kOwn, kOther, kOther + 1});
   auto brief = next;
   brief.peers.clear();
   brief.listed = false;
   auto asked = std::vector<Address>{};
   for (auto i = Address{0}; i < balancers; ++i) {
-    Greet(agent, kBalancer + i, brief, kStart);
+    DeliverHello(agent, kBalancer + i, brief, kStart);
     const auto wanted = MakeReport(agent, kBalancer + i, kStart).wanted_list;
     if (wanted == next.digest) asked.push_back(kBalancer + i);
   }
   BOOST_TEST(asked.size() == 1U);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
-  Greet(agent, asked.front(), next, kStart);
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
+  DeliverHello(agent, asked.front(), next, kStart);
   for (const auto& [balancer, known] : agent.balancers) BOOST_TEST(known.digest == next.digest);
   BOOST_TEST(agent.peers.size() == 3U);
-  Greet(agent, kBalancer + balancers, brief, kStart);  // starts later, and need not tell it
+  DeliverHello(agent, kBalancer + balancers, brief, kStart);  // starts later, and need not tell it
   BOOST_TEST(MakeReport(agent, kBalancer + balancers, kStart).wanted_list == 0U);
 }
 
@@ -284,12 +285,12 @@
 BOOST_AUTO_TEST_CASE(a_list_that_does_not_come_is_asked_for_again) {
   auto agent = MakeAgent();
   const auto brief = Hello{kDesk, {}, true, false, 4711};
-  Greet(agent, kBalancer, brief, kStart);
+  DeliverHello(agent, kBalancer, brief, kStart);
   const auto soon = kStart + agent.policy.list_within / 2;
-  Greet(agent, kBalancer + 1, brief, soon);
+  DeliverHello(agent, kBalancer + 1, brief, soon);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, soon).wanted_list == 0U);
   const auto later = kStart + agent.policy.list_within;
-  Greet(agent, kBalancer + 1, brief, later);
+  DeliverHello(agent, kBalancer + 1, brief, later);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, later).wanted_list == brief.digest);
 }
 
@@ -298,23 +299,23 @@
 BOOST_AUTO_TEST_CASE(a_list_in_parts_counts_once_it_is_whole) {
   auto agent = MakeAgent();
   const auto before = agent.peers;
-  auto hello = HelloOf({});
+  auto hello = MakeHello({});
   for (auto i = Address{0}; i < 2 * kAgentsInHello + 1; ++i) {
     hello.peers.push_back({kOther + i, kDesk});
   }
   hello.digest = DigestOf(hello);
   const auto parts = SplitHello(hello);
   BOOST_REQUIRE(parts.size() == 3U);
-  Greet(agent, kBalancer, parts[2], kStart);
-  Greet(agent, kBalancer, parts[0], kStart);
+  DeliverHello(agent, kBalancer, parts[2], kStart);
+  DeliverHello(agent, kBalancer, parts[0], kStart);
   BOOST_TEST((agent.peers == before));
   BOOST_TEST(agent.balancers.at(kBalancer).digest != hello.digest);
   auto brief = parts[0];
   brief.peers.clear();
   brief.listed = false;
-  Greet(agent, kBalancer, brief, kStart);
+  DeliverHello(agent, kBalancer, brief, kStart);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).wanted_list == hello.digest);
-  for (const auto& part : parts) Greet(agent, kBalancer, part, kStart);
+  for (const auto& part : parts) DeliverHello(agent, kBalancer, part, kStart);
   BOOST_TEST(agent.peers.size() == hello.peers.size());
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).wanted_list == 0U);
 }
@@ -329,7 +330,7 @@
     for (const auto own : all) {
       auto agent = MakeAgent();
       agent.own = own;
-      Greet(agent, kBalancer, HelloOf(all), kStart);
+      DeliverHello(agent, kBalancer, MakeHello(all), kStart);
       keepers += KeepsConfiguration(agent) ? 1 : 0;
     }
     BOOST_TEST(keepers == std::min<std::size_t>(count, kKeepers));
@@ -340,14 +341,14 @@
 // themselves, the last heard first and a few at a time.
 BOOST_AUTO_TEST_CASE(balancers_that_have_fallen_silent_are_told_of_the_agent) {
   auto agent = MakeAgent();
-  auto hello = HelloOf({kOwn, kOther});
+  auto hello = MakeHello({kOwn, kOther});
   hello.every = milliseconds{250};
   for (auto i = Address{0}; i < 20; ++i) {
-    Greet(agent, kBalancer + i, hello, kStart + milliseconds{i});
+    DeliverHello(agent, kBalancer + i, hello, kStart + milliseconds{i});
   }
   BOOST_TEST(SilentBalancers(agent, 8, kStart + milliseconds{500}).empty());
   const auto later = kStart + seconds{1};
-  Greet(agent, kBalancer + 19, hello, later);
+  DeliverHello(agent, kBalancer + 19, hello, later);
   const auto silent = SilentBalancers(agent, 8, later);
   BOOST_TEST(silent.size() == 8U);
   BOOST_TEST(silent.front() == kBalancer + 18);
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 #include "packets/agent.h"
 
 namespace anvildrum::packets::agent_tests {
@@ -10,7 +10,8 @@
 // here, and the target would take them.
 BOOST_AUTO_TEST_CASE(a_draining_target_is_given_no_opening_but_its_flows_packets) {
   auto agent = MakeAgent();
-  BOOST_TEST((TakeHeartbeat(agent, Beat(1, 2, true), kStart) == HeartbeatOutcome::kChanged));
+  BOOST_TEST(
+      (TakeHeartbeat(agent, MakeHeartbeat(1, 2, true), kStart) == HeartbeatOutcome::kChanged));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), kStart)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
 }
@@ -22,7 +23,7 @@
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), kStart)));
 }
@@ -60,7 +61,7 @@
   const auto heard_by = kStart + agent.policy.unheard_for;
   BOOST_TEST((report(heard_by) == TargetState::kStopping));
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kAbsent));
-  TakeHeartbeat(agent, Beat(1, 1), heard_by);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 1), heard_by);
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kStopping));
 }
 
@@ -74,7 +75,7 @@
   NoteEvent(agent.stall, kStart);
   TakeLeave(agent, 1, kStart);
   const auto heard = kStart + milliseconds{700};
-  BOOST_TEST((TakeHeartbeat(agent, Beat(1, 4), heard) == HeartbeatOutcome::kStale));
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 4), heard) == HeartbeatOutcome::kStale));
   agent.stopping = true;
   const auto stops = kStart + agent.policy.unheard_for + milliseconds{1};
   agent.stall.active_at = stops;
@@ -107,9 +108,9 @@
   NoteEvent(agent.stall, later);
   agent.stall.running_since = heard_by;  // it ran all the time since
   BOOST_TEST((report(later) == TargetState::kAbsent));
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), later);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), later);
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
-  TakeHeartbeat(agent, Beat(1, 1), later);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 1), later);
   BOOST_TEST((report(later) == TargetState::kReady));
 }
 
@@ -127,24 +128,24 @@
 // late one says that it drains: the live target would get no flow any more.
 BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_an_earlier_incarnation_changes_nothing) {
   auto agent = MakeAgent();
-  TakeHeartbeat(agent, Beat(2, 1), kStart + seconds{1});
-  BOOST_TEST(
-      (TakeHeartbeat(agent, Beat(1, 9, true), kStart + seconds{2}) == HeartbeatOutcome::kStale));
+  TakeHeartbeat(agent, MakeHeartbeat(2, 1), kStart + seconds{1});
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 9, true), kStart + seconds{2}) ==
+              HeartbeatOutcome::kStale));
   BOOST_TEST((agent.target.state == TargetState::kReady));
   BOOST_TEST(agent.target.last.incarnation.id == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_heartbeat_out_of_order_does_not_undo_draining) {
   auto agent = MakeAgent();
-  TakeHeartbeat(agent, Beat(1, 3, true), kStart);
-  BOOST_TEST((TakeHeartbeat(agent, Beat(1, 2), kStart) == HeartbeatOutcome::kStale));
+  TakeHeartbeat(agent, MakeHeartbeat(1, 3, true), kStart);
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 2), kStart) == HeartbeatOutcome::kStale));
   BOOST_TEST((agent.target.state == TargetState::kDraining));
 }
 
 BOOST_AUTO_TEST_CASE(a_target_that_left_stays_gone_whatever_comes_late) {
   auto agent = MakeAgent();
   BOOST_TEST(TakeLeave(agent, 1, kStart));
-  BOOST_TEST((TakeHeartbeat(agent, Beat(1, 9), kStart) == HeartbeatOutcome::kStale));
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 9), kStart) == HeartbeatOutcome::kStale));
   const auto later = kStart + agent.policy.leave_for;
   BOOST_TEST((MakeReport(agent, kBalancer, later).state == TargetState::kAbsent));
 }
@@ -157,11 +158,11 @@
   const auto heard = kStart + agent.policy.silent_for;
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Opening(), heard)));
   const auto silent = heard + milliseconds{1};
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), silent);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), silent);
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(7, 0), silent)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), silent)));
   BOOST_TEST((MakeReport(agent, kBalancer, silent).state == TargetState::kUnknown));
-  const auto back = TakeHeartbeat(agent, Beat(1, 2), silent);
+  const auto back = TakeHeartbeat(agent, MakeHeartbeat(1, 2), silent);
   BOOST_TEST((back == HeartbeatOutcome::kChanged));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, OpeningOf(8, 0), silent)));
   BOOST_TEST((MakeReport(agent, kBalancer, silent).state == TargetState::kReady));
@@ -172,12 +173,12 @@
 // incarnation, so that the process reads its settings at once.
 BOOST_AUTO_TEST_CASE(a_heartbeat_for_another_service_is_told_apart) {
   auto agent = MakeAgent();
-  auto beat = Beat(2, 1);
-  beat.service = kMapper;
-  BOOST_TEST((TakeHeartbeat(agent, beat, kStart) == HeartbeatOutcome::kOtherService));
+  auto heartbeat = MakeHeartbeat(2, 1);
+  heartbeat.service = kMapper;
+  BOOST_TEST((TakeHeartbeat(agent, heartbeat, kStart) == HeartbeatOutcome::kOtherService));
   BOOST_TEST(agent.target.last.incarnation.id == 1U);
   TakeLeave(agent, 2, kStart);
-  BOOST_TEST((TakeHeartbeat(agent, beat, kStart) == HeartbeatOutcome::kStale));
+  BOOST_TEST((TakeHeartbeat(agent, heartbeat, kStart) == HeartbeatOutcome::kStale));
 }
 
 // A target crashes. Until its heartbeats are missed its clients' openings would wait for nothing,
@@ -192,7 +193,7 @@
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), crashed)));
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), crashed)).by_target);
   BOOST_TEST(MakeReport(agent, kBalancer, crashed).in_flight == 0U);
-  TakeHeartbeat(agent, Beat(2, 1), crashed + seconds{1});
+  TakeHeartbeat(agent, MakeHeartbeat(2, 1), crashed + seconds{1});
   BOOST_TEST((StateOf(agent, crashed + seconds{1}) == TargetState::kReady));
 }
 
@@ -215,7 +216,7 @@
 // A target that drains may close its port and still serve its flows.
 BOOST_AUTO_TEST_CASE(a_refusal_by_a_draining_target_ends_no_flow) {
   auto agent = MakeAgent();
-  TakeHeartbeat(agent, Beat(1, 2, true), kStart);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 2, true), kStart);
   BOOST_TEST(!TakeRefusal(agent, kStart + seconds{1}, kStart + seconds{1}));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
 }
@@ -227,9 +228,9 @@
   FromTarget(agent, Reply(100), kStart);
   const auto refused = kStart + milliseconds{100};
   TakeRefusal(agent, refused, refused);
-  TakeHeartbeat(agent, Beat(1, 2), refused + milliseconds{10});
+  TakeHeartbeat(agent, MakeHeartbeat(1, 2), refused + milliseconds{10});
   const auto later = refused + milliseconds{10} + agent.policy.proof_apart;
-  BOOST_TEST((TakeHeartbeat(agent, Beat(1, 3), later) == HeartbeatOutcome::kChanged));
+  BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 3), later) == HeartbeatOutcome::kChanged));
   BOOST_TEST(!TakeRefusal(agent, later + milliseconds{1}, later + milliseconds{1}));
   const auto query = FlowQuery{kDesk, 1, {{kClient, kRoute}}};
   BOOST_TEST(AnswerQuery(agent, query, later).held.empty());
--- a/src/packets/tests/agent_test.cc
+++ b/src/packets/tests/agent_test.cc
@@ -2,7 +2,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 
 namespace anvildrum::packets::agent_tests {
 namespace {
@@ -48,9 +48,9 @@
   finish.payload = 0;
   finish.finish = true;
   FromPeer(agent, finish, kStart);
-  auto bare = Data();
-  bare.payload = 0;
-  BOOST_TEST(std::holds_alternative<Discard>(FromTarget(agent, Returned(bare), kStart)));
+  auto last_ack = Data();
+  last_ack.payload = 0;
+  BOOST_TEST(std::holds_alternative<Discard>(FromTarget(agent, Returned(last_ack), kStart)));
   BOOST_TEST(std::holds_alternative<GiveBack>(FromTarget(agent, Returned(Data()), kStart)));
 }
 
@@ -70,16 +70,16 @@
 // reset.
 BOOST_AUTO_TEST_CASE(an_opening_that_waited_while_the_process_stood_still_is_not_refused) {
   auto agent = MakeAgent();
-  TakeHeartbeat(agent, Beat(1, 2, true), kStart);
-  const auto hop = FromPeer(agent, Opening(), kStart);
-  BOOST_TEST(std::get<ForwardToAgent>(hop).stamp.refusable);
-  const auto woken = kStart + kStallAfter + milliseconds{1};
-  const auto late = FromPeer(agent, Opening(), woken);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 2, true), kStart);
+  const auto before_pause = FromPeer(agent, Opening(), kStart);
+  BOOST_TEST(std::get<ForwardToAgent>(before_pause).stamp.refusable);
+  const auto resumed_at = kStart + kStallAfter + milliseconds{1};
+  const auto late = FromPeer(agent, Opening(), resumed_at);
   BOOST_TEST(!std::get<ForwardToAgent>(late).stamp.refusable);
-  const auto queued = FromPeer(agent, Opening(), woken + milliseconds{50});
+  const auto queued = FromPeer(agent, Opening(), resumed_at + milliseconds{50});
   BOOST_TEST(!std::get<ForwardToAgent>(queued).stamp.refusable);
-  NoteEvent(agent.stall, woken + milliseconds{100});
-  const auto fresh = FromPeer(agent, Opening(), woken + kStallDoubt);
+  NoteEvent(agent.stall, resumed_at + milliseconds{100});
+  const auto fresh = FromPeer(agent, Opening(), resumed_at + kStallDoubt);
   BOOST_TEST(std::get<ForwardToAgent>(fresh).stamp.refusable);
 }
 
--- a/src/packets/tests/agent_rig.h
+++ b/src/packets/tests/agent_test_utils.h
@@ -20,14 +20,15 @@
 inline constexpr auto kClient = End{0x64400007, 40001};
 inline constexpr auto kRoute = End{0xc6120001, 443};
 
-inline auto HelloOf(const std::vector<Address>& agents, bool complete = true) -> Hello {
+inline auto MakeHello(const std::vector<Address>& agents, bool complete = true) -> Hello {
   auto hello = Hello{kDesk, {}, complete};
   for (const auto agent : agents) hello.peers.push_back({agent, kDesk});
   hello.digest = DigestOf(hello);
   return hello;
 }
 
-inline auto Beat(std::uint64_t id, std::uint64_t sequence, bool draining = false) -> Heartbeat {
+inline auto MakeHeartbeat(std::uint64_t id, std::uint64_t sequence, bool draining = false)
+    -> Heartbeat {
   return {.incarnation = {id, std::nullopt},
           .service = kDesk,
           .sequence = sequence,
@@ -36,15 +37,16 @@
 }
 
 /// A heartbeat of a target that tells when it started.
-inline auto BeatOf(std::uint64_t id, std::uint64_t started_ms, std::uint64_t sequence,
-                   bool draining = false) -> Heartbeat {
-  auto beat = Beat(id, sequence, draining);
-  beat.incarnation.started_ms = started_ms;
-  return beat;
+inline auto MakeHeartbeatWithStart(std::uint64_t id, std::uint64_t started_ms,
+                                   std::uint64_t sequence, bool draining = false) -> Heartbeat {
+  auto heartbeat = MakeHeartbeat(id, sequence, draining);
+  heartbeat.incarnation.started_ms = started_ms;
+  return heartbeat;
 }
 
 /// A hello comes, and the agent's next check after it.
-inline auto Greet(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now) -> bool {
+inline auto DeliverHello(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now)
+    -> bool {
   const auto taken = TakeHello(agent, balancer, hello, now);
   RefreshPeers(agent, now);
   return taken;
@@ -55,8 +57,8 @@
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, Beat(1, 1), kStart);
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 1), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   return agent;
 }
 
--- a/src/packets/tests/cold_test.cc
+++ b/src/packets/tests/cold_test.cc
@@ -4,27 +4,27 @@
 #include <boost/test/unit_test.hpp>
 #include <deque>
 
-#include "agent_rig.h"
+#include "agent_test_utils.h"
 #include "packets/hello.h"
 
 namespace anvildrum::packets::agent_tests {
 namespace {
 
-constexpr auto kRush = milliseconds{3};  // about 300 openings a second
+constexpr auto kOpeningInterval = milliseconds{3};  // about 300 openings a second
 constexpr auto kColdMs = std::uint32_t{2000};
 
 /// What the users bear in any second: one and a half times the rate, and five.
-auto MostIn(std::uint32_t per_second) -> std::size_t { return per_second * 3 / 2 + 5; }
+auto MaxOpeningsInSecond(std::uint32_t per_second) -> std::size_t { return per_second * 3 / 2 + 5; }
 
-auto ColdBeat(std::uint64_t sequence) -> Heartbeat {
-  auto beat = Beat(1, sequence);
-  beat.cold_ms = kColdMs;
-  beat.slots = 200;
-  return beat;
+auto ColdHeartbeat(std::uint64_t sequence) -> Heartbeat {
+  auto heartbeat = MakeHeartbeat(1, sequence);
+  heartbeat.cold_ms = kColdMs;
+  heartbeat.slots = 200;
+  return heartbeat;
 }
 
 auto HelloWithRate(std::uint32_t per_second) -> Hello {
-  auto hello = HelloOf({kOwn, kOther});
+  auto hello = MakeHello({kOwn, kOther});
   hello.revision = 1;
   hello.cold_per_second = per_second;
   return hello;
@@ -34,21 +34,21 @@
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, ColdBeat(1), kStart);
-  Greet(agent, kBalancer, per_second ? HelloWithRate(*per_second) : HelloOf({kOwn, kOther}),
-        kStart);
+  TakeHeartbeat(agent, ColdHeartbeat(1), kStart);
+  DeliverHello(agent, kBalancer,
+               per_second ? HelloWithRate(*per_second) : MakeHello({kOwn, kOther}), kStart);
   return agent;
 }
 
 /// Counts openings that reach the target, and the most in any second so far.
-struct Counted {
+struct OpeningCounter {
   auto Add(base::TimePoint now) -> void {
     this->times.push_back(now);
     while (now - this->times.front() >= seconds{1}) this->times.pop_front();
-    this->most = std::max(this->most, this->times.size());
+    this->max_in_second = std::max(this->max_in_second, this->times.size());
   }
   std::deque<base::TimePoint> times;
-  std::size_t most = 0;
+  std::size_t max_in_second = 0;
 };
 
 auto Offer(Agent& agent, std::uint16_t port, base::TimePoint now) -> bool {
@@ -58,23 +58,24 @@
 // A domain is taken back with all targets cold. 300 openings a second come to one of them from all
 // balancers, and its agent is started again in the middle: it has forgotten what it gave. In no
 // second the target gets more than it bears.
-BOOST_AUTO_TEST_CASE(a_cold_target_is_given_what_it_bears_whoever_sends_it) {
+BOOST_AUTO_TEST_CASE(a_cold_target_gets_no_more_than_its_limit_from_all_balancers) {
   for (const auto rate : {5U, 20U, 80U}) {
     auto agent = ColdAgent(rate);
-    auto counted = Counted{};
+    auto counter = OpeningCounter{};
     auto port = std::uint16_t{0};
     const auto restart_at = kStart + milliseconds{700};
     auto restarted = false;
-    for (auto now = kStart; now < kStart + milliseconds{kColdMs}; now += kRush) {
+    for (auto now = kStart; now < kStart + milliseconds{kColdMs}; now += kOpeningInterval) {
       if (!restarted && now >= restart_at) {
         restarted = true;
         agent = ColdAgent(rate);
         agent.target.heard = now;
       }
-      if (Offer(agent, ++port, now)) counted.Add(now);
+      if (Offer(agent, ++port, now)) counter.Add(now);
     }
-    BOOST_TEST(counted.most <= MostIn(rate), rate << ": " << counted.most);
-    BOOST_TEST(counted.most >= rate, rate << ": " << counted.most);
+    BOOST_TEST(counter.max_in_second <= MaxOpeningsInSecond(rate),
+               rate << ": " << counter.max_in_second);
+    BOOST_TEST(counter.max_in_second >= rate, rate << ": " << counter.max_in_second);
     BOOST_TEST(agent.counters.over_cold > 0U);
   }
 }
@@ -94,9 +95,9 @@
   auto warm = ColdAgent(5);
   auto unlimited = ColdAgent(0);
   const auto later = kStart + milliseconds{kColdMs};
-  auto beat = ColdBeat(2);
-  beat.cold_ms = 0;
-  TakeHeartbeat(warm, beat, later);
+  auto heartbeat = ColdHeartbeat(2);
+  heartbeat.cold_ms = 0;
+  TakeHeartbeat(warm, heartbeat, later);
   for (auto port = std::uint16_t{1}; port <= 100; ++port) {
     BOOST_TEST(Offer(warm, port, later));
     BOOST_TEST(Offer(unlimited, port, kStart));
@@ -105,12 +106,12 @@
 
 // A target's heartbeat said that it is warm, then its domain was drained, became cold, and is taken
 // back before the next heartbeat tells so.
-BOOST_AUTO_TEST_CASE(a_target_of_a_domain_that_is_taken_back_counts_as_cold_until_it_speaks) {
+BOOST_AUTO_TEST_CASE(a_target_of_a_domain_returned_to_service_counts_as_cold_until_its_heartbeat) {
   auto agent = ColdAgent(5);
   agent.domain = 1;
-  auto beat = ColdBeat(2);
-  beat.cold_ms = 0;
-  TakeHeartbeat(agent, beat, kStart);
+  auto heartbeat = ColdHeartbeat(2);
+  heartbeat.cold_ms = 0;
+  TakeHeartbeat(agent, heartbeat, kStart);
   auto hello = HelloWithRate(5);
   hello.drained = DrainedOf(10, {1});
   TakeHello(agent, kBalancer, hello, kStart);
@@ -122,8 +123,8 @@
   }
   BOOST_TEST(taken <= 5U);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).cold);
-  ++beat.sequence;
-  TakeHeartbeat(agent, beat, kStart);
+  ++heartbeat.sequence;
+  TakeHeartbeat(agent, heartbeat, kStart);
   BOOST_TEST(!MakeReport(agent, kBalancer, kStart).cold);
   BOOST_TEST(Offer(agent, 21, kStart));
 }
