--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -1,5 +1,5 @@
-// Targets that start again under the id that they had, heartbeats and leaves of an earlier start
-// that come late, and heartbeats of other writers under the same id.
+// Tests of targets that restart under the same id, of delayed heartbeats and leave messages from an
+// earlier start, and of heartbeats that another sender writes under the same id.
 
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 constexpr auto kSecondStart = kFirstStart + 9'000;
 constexpr auto kHeartbeatPeriod = milliseconds{750};
 
-// An agent whose target has told when it started, and has said nine heartbeats.
+// Returns an agent whose target has reported its start time and has sent nine heartbeats.
 auto MakeAgentOfFirstStart() -> Agent {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -28,9 +28,9 @@
   return MakeReport(agent, kBalancer, now).state;
 }
 
-// A target crashes and starts again under its id; its sequence starts anew. Taken for late, its
-// heartbeats would be ignored until the sequence has passed the former one: the target would get
-// no opening for as long as it had run before.
+// A target crashes and restarts under its id with a new heartbeat sequence. If the agent took its
+// heartbeats for late ones, it would ignore them until the sequence passed the former one, and the
+// target would get no opening for as long as it had run before.
 BOOST_AUTO_TEST_CASE(a_target_that_starts_again_under_its_id_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
   const auto restarted_at = kStart + seconds{3};
@@ -41,9 +41,9 @@
   BOOST_TEST(agent.target.last.sequence == 1U);
 }
 
-// The restarted target holds nothing. Requests and half-open flows of before, counted as load,
-// would close an idle target; an offer of before would also end the count of a later one of the
-// same flow.
+// The restarted target holds no flows. If earlier requests and half-open flows still counted as
+// load, an idle target would accept no openings. The expiry of an earlier opening would also end
+// the count of a later one of the same flow.
 BOOST_AUTO_TEST_CASE(a_restart_forgets_all_flows_of_before) {
   auto agent = MakeAgentOfFirstStart();
   FromPeer(agent, OpeningOf(7, 0), kStart);
@@ -54,9 +54,10 @@
   BOOST_TEST(agent.offered.empty());
 }
 
-// Flows that were quiet since long before the new start are gone with the earlier one. One that was
-// opened a moment before its first heartbeat may be held by it, though a late heartbeat of the
-// earlier start came in between: it is neither said to be held nor to be nowhere.
+// Flows without a packet since long before the restart ended with the earlier start. A flow that
+// opened just before the first heartbeat of the new start may be held by it, even if a late
+// heartbeat of the earlier start came in between. Such a flow is reported as unsure, neither as
+// held nor as lost.
 BOOST_AUTO_TEST_CASE(flows_that_may_be_of_the_new_start_are_in_doubt) {
   auto agent = MakeAgentOfFirstStart();
   FromPeer(agent, OpeningOf(7, 0), kStart);
@@ -74,8 +75,8 @@
   BOOST_TEST((answer.unsure == std::vector<std::uint32_t>{1}));
 }
 
-// The target has started again; a heartbeat of its earlier start was held up and says that it
-// drains. Believed, it would take all openings from a live target.
+// The target has restarted, and a delayed heartbeat of its earlier start says that it drains. If
+// the agent accepted it, a live target would get no more openings.
 BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_the_earlier_start_changes_nothing) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
@@ -85,7 +86,7 @@
   BOOST_TEST((StateAt(agent, kStart) == TargetState::kReady));
 }
 
-// The agent has just started, and the late heartbeat is the first that it hears.
+// The agent has just started, and the delayed heartbeat is the first one that it receives.
 BOOST_AUTO_TEST_CASE(the_later_start_wins_whichever_comes_first) {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -98,7 +99,7 @@
               HeartbeatOutcome::kStale));
 }
 
-// A target leaves, and starts again later under the id that it had.
+// A target leaves and later starts again under the same id.
 BOOST_AUTO_TEST_CASE(an_id_that_has_left_may_come_back) {
   auto agent = MakeAgentOfFirstStart();
   BOOST_TEST(TakeLeave(agent, kId, kStart));
@@ -111,10 +112,11 @@
   BOOST_TEST(TakeLeave(agent, kId, restarted_at));
 }
 
-// The leave of an earlier start comes late, when the target has started again. A leave names the id
-// alone. Believed at once, it would make the agent pass packets of the live target's flows on, and
-// the balancers count nobody as missing: the flows would be reset. The target has not said that it
-// drains, so that it is given no opening, but keeps its flows until it falls silent.
+// The leave message of an earlier start arrives after the target has restarted. A leave message
+// carries only the id. If the agent accepted it at once, the agent would pass on packets of the
+// live target's flows and balancers would see no target as missing, so the flows would be reset.
+// Instead, the agent treats the target as draining: it gets no opening but keeps its flows until
+// its heartbeats stop.
 BOOST_AUTO_TEST_CASE(a_leave_that_may_be_of_an_earlier_start_resets_no_flow) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
@@ -129,7 +131,7 @@
   BOOST_TEST((StateAt(agent, next) == TargetState::kReady));
 }
 
-// The same, and the leave was the live start's own.
+// As above, but the leave message came from the current start.
 BOOST_AUTO_TEST_CASE(a_doubted_leave_is_believed_once_the_target_is_silent) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
@@ -137,13 +139,13 @@
   TakeLeave(agent, kId, kStart);
   const auto silent = kStart + agent.policy.silent_for + milliseconds{1};
   NoteEvent(agent.stall, silent);
-  BOOST_TEST((StateAt(agent, silent) == TargetState::kUnknown));  // it was paused all the while
-  agent.stall.running_since = kStart;                             // it ran all the time
+  BOOST_TEST((StateAt(agent, silent) == TargetState::kUnknown));  // the agent was paused meanwhile
+  agent.stall.running_since = kStart;                             // the agent ran without a pause
   BOOST_TEST((StateAt(agent, silent) == TargetState::kAbsent));
 }
 
-// No call of the earlier start is that late any more: packets of the flows of a target that left go
-// on to the others at once.
+// Long after a start, a leave message can no longer be one of an earlier start. Packets of the
+// departed target's flows are passed on to other targets without further delay.
 BOOST_AUTO_TEST_CASE(a_leave_long_after_the_start_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
@@ -153,9 +155,9 @@
   BOOST_TEST((StateAt(agent, later + agent.policy.leave_for) == TargetState::kAbsent));
 }
 
-// All agents are killed; the first thing that one of them hears after its start is the leave of the
-// target that stood beside it before. The next one holds flows, and its heartbeat comes in a
-// moment.
+// All agents are killed. The first message that one of them receives after its restart is the leave
+// message of its former target. The successor of that target holds flows, and its heartbeat is
+// about to arrive.
 BOOST_AUTO_TEST_CASE(a_leave_that_is_heard_first_resets_no_flow) {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -171,8 +173,8 @@
   BOOST_TEST((StateAt(agent, later) == TargetState::kReady));
 }
 
-// An address changes hands between services under one id, and the leave of the earlier service's
-// target comes late.
+// An address moves from one service to another while the target id stays the same, and the leave
+// message of the earlier service's target arrives late.
 BOOST_AUTO_TEST_CASE(a_late_leave_across_a_change_of_service_resets_no_flow) {
   auto agent = MakeAgentOfFirstStart();
   ChangeService(agent, kMapper, kStart);
@@ -183,8 +185,8 @@
   BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kDraining));
 }
 
-// The machine's clock was set back between two starts, so that the later one tells the earlier
-// time. It goes on saying heartbeats and the earlier one does not: the second one is believed.
+// The instance's clock was set back between two starts, so the later start reports the earlier
+// time. Only the later one continues to send heartbeats, so its second heartbeat is accepted.
 BOOST_AUTO_TEST_CASE(a_later_start_by_a_clock_that_was_set_back_is_believed_when_it_goes_on) {
   auto agent = MakeAgentOfFirstStart();
   const auto earlier_ms = kFirstStart - 30'000;
@@ -198,7 +200,7 @@
   BOOST_TEST(agent.flows.empty());
 }
 
-// Several heartbeats of a target that is gone were held up and come together, after it has left.
+// Several delayed heartbeats of a target arrive together after the target has left.
 BOOST_AUTO_TEST_CASE(late_heartbeats_that_come_together_prove_nothing) {
   auto agent = MakeAgentOfFirstStart();
   TakeLeave(agent, kId, kStart);
@@ -211,8 +213,8 @@
   BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kAbsent));
 }
 
-// Two writers use one id. The one that started last is believed; the other's heartbeats come
-// between its own and prove nothing.
+// Two senders use one id. The one that started last is accepted as the target. The other's
+// heartbeats alternate with its heartbeats and are ignored.
 BOOST_AUTO_TEST_CASE(of_two_writers_under_one_id_the_later_start_stays) {
   auto agent = MakeAgentOfFirstStart();
   auto now = kStart;
@@ -228,8 +230,8 @@
   BOOST_TEST((StateAt(agent, now) == TargetState::kReady));
 }
 
-// Another writer has said a heartbeat under the target's id and start, with the largest sequence.
-// The target's own are behind it for ever, and would leave it without openings.
+// Another sender has sent a heartbeat with the target's id and start time and a very large sequence
+// number. The target's own sequence would never reach it, so the target would get no openings.
 BOOST_AUTO_TEST_CASE(a_sequence_that_ran_ahead_does_not_silence_the_target) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, std::uint64_t{1} << 63U, true),
@@ -243,7 +245,7 @@
   BOOST_TEST((StateAt(agent, kStart + 2 * kHeartbeatPeriod) == TargetState::kReady));
 }
 
-// A target that does not tell its start begins again under its id.
+// A target that does not report its start time restarts under the same id.
 BOOST_AUTO_TEST_CASE(a_restart_without_a_time_is_believed_when_it_goes_on) {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -258,7 +260,7 @@
   BOOST_TEST(agent.at_work == 0U);
 }
 
-// Whatever comes, an agent that lives for months keeps a bounded number of former starts.
+// An agent that runs for months keeps only a bounded number of former starts.
 BOOST_AUTO_TEST_CASE(former_starts_that_are_remembered_are_bounded) {
   auto agent = MakeAgentOfFirstStart();
   for (auto start = std::uint64_t{1}; start < 1'000; ++start) {
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -16,8 +16,9 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
 }
 
-// After an outage all clients come at once. Queued at the target, each of them waits for all before
-// it, and all are late; the first in line could have been in time, and the others elsewhere.
+// After an outage all clients connect at once. If all their openings queued at one target, each
+// would wait for those before it and miss its deadline. With a limit, the first ones are served in
+// time and the others go to other targets.
 BOOST_AUTO_TEST_CASE(openings_over_the_limit_are_passed_on_and_refused_in_the_end) {
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 8; ++port) {
@@ -40,9 +41,9 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, OpeningOf(6, 0), kStart)));
 }
 
-// A rush of copies: each opening is answered by two targets, and its client goes on with one. Here
-// nobody goes on; counted as load for as long as the target holds them, these flows would keep a
-// target without any work closed for openings.
+// Many openings are retransmitted, so two targets answer each of them and the client continues with
+// one. Here no client continues. If these flows counted as load for as long as the target holds
+// them, an idle target would accept no openings.
 BOOST_AUTO_TEST_CASE(openings_that_no_client_continues_stop_counting_as_load) {
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 8; ++port) {
@@ -95,10 +96,10 @@
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).held == 0U);
 }
 
-// An answer is late, so that the client sends its request again; the copy reaches the target after
-// the answer has gone, and is acknowledged without data. On a flow that stays open, and on one that
-// the target has closed: nothing is at work, and the target would otherwise be full while it is
-// idle.
+// An answer is late and the client retransmits its request. The copy reaches the target after the
+// answer was sent and is acknowledged without data. No request is in progress then, neither on a
+// flow that stays open nor on one that the target has closed. If the copy counted as load, an idle
+// target would appear full.
 BOOST_AUTO_TEST_CASE(a_request_that_is_repeated_after_its_answer_is_no_load) {
   for (const auto closes : {false, true}) {
     auto agent = MakeAgent();
@@ -114,9 +115,10 @@
   }
 }
 
-// Both ends have closed the flow, in either order, or one of them is never heard of again: it is no
-// load, and forgotten once its client's last repetition must have come. Forgotten at once, the
-// client's last acknowledgement would be searched for at all agents.
+// Both ends have closed the flow, in either order, or one end is never heard from again. The flow
+// is no load, and its entry is dropped once the client's last retransmission must have arrived. If
+// the entry were dropped at once, all agents would be queried about the client's last
+// acknowledgement.
 BOOST_AUTO_TEST_CASE(a_flow_that_both_ends_closed_is_forgotten_soon) {
   auto last = Data();
   last.payload = 0;
@@ -145,8 +147,8 @@
   BOOST_TEST(agent.ended == 0U);
 }
 
-// An agent that was started again is sent a packet of a flow that its target holds half open, or
-// what the target gave back was lost: nothing comes back, and nothing is at work.
+// The target does not react to a packet of a flow that a restarted agent does not know: either it
+// holds the flow half open, or the packet that it gave back was lost. No request is in progress.
 BOOST_AUTO_TEST_CASE(a_packet_without_any_reaction_is_load_for_a_moment) {
   auto agent = MakeAgent();
   FromPeer(agent, Data(), kStart);
@@ -156,7 +158,8 @@
   BOOST_TEST(MakeReport(agent, kBalancer, later).in_flight == 0U);
 }
 
-// A flow opens here and its client asks. False where the opening is not given to the target.
+// Opens a flow and sends the client's request. Returns false if the agent does not deliver the
+// opening to the target.
 auto OpenAndSendRequest(Agent& agent, std::uint16_t port, base::TimePoint now) -> bool {
   const auto opening = OpeningOf(port, 0);
   if (!std::holds_alternative<DeliverToTarget>(FromPeer(agent, opening, now))) return false;
@@ -170,7 +173,8 @@
   return true;
 }
 
-// A part of a request comes and is acknowledged, and its client gives up.
+// Opens a flow, sends a part of a request that the target acknowledges, and sends nothing more, as
+// a client that gives up.
 auto AbandonRequest(Agent& agent, std::uint16_t port, base::TimePoint now) -> void {
   OpenAndSendRequest(agent, port, now);
   auto acknowledgement = Reply(0);
@@ -178,8 +182,9 @@
   FromTarget(agent, acknowledgement, now);
 }
 
-// Clients give up before all of their requests has come. The target acknowledges the parts and
-// stays idle, and the agent would refuse openings for as long as it remembers the flows.
+// Clients give up before their requests have arrived completely. The target acknowledges the parts
+// and stays idle. If these requests counted as load, the agent would refuse openings for as long as
+// it keeps the flows.
 BOOST_AUTO_TEST_CASE(requests_whose_clients_left_do_not_close_an_idle_target) {
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 8; ++port) AbandonRequest(agent, port, kStart);
@@ -200,9 +205,9 @@
   BOOST_TEST(MakeReport(agent, kBalancer, later + milliseconds{100}).in_flight == 0U);
 }
 
-// A restarted agent is sent parts of requests, or requests that its target has answered before. The
-// target acknowledges them without data. Counted as work, they closed idle targets for as long as
-// their flows were remembered, and the load after an outage never came back.
+// A restarted agent receives parts of requests, or requests that its target has already answered,
+// and the target acknowledges them without data. When these counted as load, idle targets accepted
+// no openings for as long as their flows were kept, and traffic never recovered after an outage.
 BOOST_AUTO_TEST_CASE(an_acknowledgement_of_a_flow_that_opened_before_is_no_work) {
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 12; ++port) {
@@ -218,7 +223,8 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, OpeningOf(20, 0), kStart)));
 }
 
-// A target that answers nothing keeps its requests: it is given one more in a second, no more.
+// The requests of a target that answers nothing stay counted as load, so it gets at most one more
+// opening per second.
 BOOST_AUTO_TEST_CASE(a_target_that_hangs_is_given_a_trial_a_second) {
   auto agent = MakeAgent();
   auto given = 0;
@@ -232,7 +238,7 @@
   BOOST_TEST(given <= 8 + 10);
 }
 
-// What a target gave back is no load either, and its flow may open there later.
+// A flow whose packet the target gave back is no load either, and it may open there later.
 BOOST_AUTO_TEST_CASE(a_flow_that_was_given_back_is_no_load_and_may_be_opened_later) {
   auto agent = MakeAgent();
   FromPeer(agent, Data(), kStart);
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -11,14 +11,16 @@
   return {kDesk, 7, {{{kClient.address, port}, kRoute}}};
 }
 
-// Whether it can prove something; the process has run without a stall until then.
+// Returns whether the agent's answer to a query can prove that a flow is lost, for a process that
+// has run without a stall until `now`.
 auto IsSettled(Agent agent, base::TimePoint now) -> bool {
   agent.stall = {};
   return AnswerQuery(agent, QueryOf(1), now).settled;
 }
 
-// All machines lost power; clients go on with flows that no target knows any more. The agent has
-// seen its target from its first heartbeat on, and has heard of the same others for a while.
+// All instances lost power, and clients send packets of flows that no target knows any more. The
+// agent has seen its target since the target's first heartbeat, and its list of peers has not
+// changed for a while.
 BOOST_AUTO_TEST_CASE(an_agent_knows_what_its_target_does_not_hold) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
@@ -31,16 +33,16 @@
   BOOST_TEST(answer.unsure.empty());
 }
 
-// The agent was paused with the query in its socket. Meanwhile an agent came back that holds the
-// flow; what balancers said before the pause is old.
+// The agent was paused with the query in its socket. Meanwhile an agent whose target holds the flow
+// came back, so the hellos from before the pause are out of date.
 BOOST_AUTO_TEST_CASE(a_query_that_waited_proves_nothing) {
   auto agent = MakeAgent();
   NoteEvent(agent.stall, kStart);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + agent.policy.settle_for).settled);
 }
 
-// The flow's own agent is started again at that moment, or a balancer has not heard of it yet: the
-// question missed the target that holds the flow, and a reset would break it.
+// The agent whose target holds the flow is restarting, or a balancer has not heard of it yet. The
+// query did not reach that agent, and a reset would break the flow.
 BOOST_AUTO_TEST_CASE(nothing_is_proved_while_an_agent_may_be_missing) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
@@ -50,8 +52,9 @@
   BOOST_TEST(!IsSettled(agent, settled));
 }
 
-// Targets are replaced one a second while a failure domain is off: each second an agent comes and
-// another one goes. The one that goes leaves nothing unknown, and flows are proved lost meanwhile.
+// Targets are replaced at one per second while a failure domain is down, so each second one agent
+// joins and another one leaves. A leaving agent adds no uncertainty, so flows can be proved lost
+// meanwhile.
 BOOST_AUTO_TEST_CASE(the_peer_list_stays_settled_when_an_agent_leaves_but_not_when_one_joins) {
   auto agent = MakeAgent();
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 1}), kStart);
@@ -60,12 +63,12 @@
   BOOST_TEST(IsSettled(agent, settled));
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 2}), settled);
   BOOST_TEST(!IsSettled(agent, settled));
-  // One of two that changes places with another is one that comes.
+  // An agent that replaces one of two counts as one that joins.
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther + 3}), settled + agent.policy.settle_for);
   BOOST_TEST(!IsSettled(agent, settled + agent.policy.settle_for));
 }
 
-// A hello with another list has come, and the question follows before the agent's next check.
+// A hello with another list has arrived, and the query follows before the agent's next check.
 BOOST_AUTO_TEST_CASE(a_question_between_checks_counts_the_hellos_that_have_come) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
@@ -74,13 +77,14 @@
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.settled);
   BOOST_TEST(answer.peers_digest == MakeHello({kOwn}).digest);
-  // Not at each question: a rush of hellos and questions would take all of a small machine.
+  // The list is not recomputed for each query: many hellos and queries at once would use all of the
+  // CPU time of a small instance.
   TakeHello(agent, kBalancer, MakeHello({kOwn, kOther}), settled);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), settled + milliseconds{5}).settled);
 }
 
-// One of 91 balancers that greet once in two seconds knows an agent that the others do not; it is
-// told of within a tenth of that.
+// One of 91 balancers, which send a hello every two seconds, knows an agent that the others do not.
+// That balancer reports the agent within a tenth of that period.
 BOOST_AUTO_TEST_CASE(where_balancers_greet_less_often_agents_settle_later) {
   auto agent = MakeAgent();
   auto hello = MakeHello({kOwn, kOther});
@@ -88,7 +92,7 @@
   DeliverHello(agent, kBalancer, hello, kStart);
   BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
   BOOST_TEST(IsSettled(agent, kStart + milliseconds{500}));
-  BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // four of its periods
+  BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // four hello periods
   BOOST_TEST(!IsSettled(agent, kStart + seconds{8} + milliseconds{1}));
 }
 
@@ -98,8 +102,8 @@
   BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
 }
 
-// One balancer knows an agent that the asking one does not: their digests differ, and the balancer
-// that asks finds that it has not asked them all.
+// One balancer knows an agent that the querying one does not. The digests of their lists differ, so
+// the querying balancer sees that it has not queried all agents.
 BOOST_AUTO_TEST_CASE(an_agent_that_one_balancer_knows_counts_for_all) {
   auto agent = MakeAgent();
   DeliverHello(agent, kBalancer + 1, MakeHello({kOther + 5}, true), kStart);
@@ -108,8 +112,9 @@
   BOOST_TEST(answer.peers_digest == MakeHello({kOwn, kOther, kOther + 5}).digest);
 }
 
-// The address went from mapper to desk. The agent still knew mapper's agents, itself alone, took
-// itself for the only one of desk, and flows of desk that others held were reset.
+// The address moved from service kMapper to kDesk. The agent still held the peer list of kMapper,
+// which contained only itself. It took itself for the only agent of kDesk, and flows of kDesk that
+// other targets held were reset.
 BOOST_AUTO_TEST_CASE(an_agent_whose_service_changed_proves_nothing_until_it_knows_its_others) {
   auto agent = MakeAgent();
   ChangeService(agent, kMapper, kStart);
@@ -121,8 +126,8 @@
   BOOST_TEST(!answer.unsure.empty());
 }
 
-// The agent was started again beside a target that lives: it does not know what the target holds,
-// until it runs for longer than any flow is kept, or the target starts anew.
+// The agent restarted beside a running target. It does not know which flows the target holds until
+// it has run for longer than any flow is kept, or until the target restarts.
 BOOST_AUTO_TEST_CASE(an_agent_that_is_younger_than_its_target_does_not_know_its_flows) {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -132,7 +137,7 @@
   const auto knows = [&](base::TimePoint now) {
     return AnswerQuery(agent, QueryOf(1), now).unsure.empty();
   };
-  BOOST_TEST(!knows(kStart));  // it has not heard of its target yet
+  BOOST_TEST(!knows(kStart));  // no heartbeat of the target yet
   TakeHeartbeat(agent, MakeHeartbeat(1, 40), kStart);
   BOOST_TEST(!knows(kStart));
   auto runs_long = agent;
@@ -143,8 +148,9 @@
   BOOST_TEST(knows(kStart + seconds{1}));
 }
 
-// The target had taken an opening before its first heartbeat, by an earlier process of the agent. A
-// balancer that knew that one says so, and the agent does not rely on having heard the first.
+// The target accepted an opening before its first heartbeat, through an earlier process of the
+// agent. A balancer that knew that process reports it, so the agent does not conclude from having
+// received the first heartbeat that it knows all flows of the target.
 BOOST_AUTO_TEST_CASE(an_agent_whose_earlier_process_was_known_does_not_know_its_targets_flows) {
   auto agent = MakeAgent();
   BOOST_TEST(AnswerQuery(agent, QueryOf(1), kStart).unsure.empty());
@@ -157,8 +163,8 @@
   BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart).unsure.empty());
 }
 
-// The target's first heartbeats were lost while the process started. It cannot have been there
-// before, where it has sent fewer heartbeats than the process runs for.
+// The target's first heartbeats were lost while the agent's process started. If the target has sent
+// fewer heartbeats than fit into the run time of the process, it started after the process.
 BOOST_AUTO_TEST_CASE(a_target_that_has_said_little_started_after_an_agent_that_runs_for_long) {
   auto agent = MakeAgent();
   agent.stall.running_since = kStart;
@@ -168,7 +174,7 @@
   BOOST_TEST(AnswerQuery(agent, QueryOf(1), kStart + seconds{10}).unsure.empty());
 }
 
-// A flood of made-up flows filled the agent's table; what came after it is not remembered.
+// A flood of forged flows filled the agent's flow table, so later flows are not recorded.
 BOOST_AUTO_TEST_CASE(an_agent_whose_table_was_full_does_not_know_its_targets_flows) {
   auto agent = MakeAgent();
   agent.policy.most_flows = 1;
@@ -177,11 +183,11 @@
   FromPeer(agent, OpeningOf(2, 0), kStart);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(2), kStart).unsure.empty());
   TakeHeartbeat(agent, MakeHeartbeat(2, 1),
-                kStart + seconds{1});  // the next target holds nothing yet
+                kStart + seconds{1});  // the next target holds no flows yet
   BOOST_TEST(AnswerQuery(agent, QueryOf(2), kStart + seconds{1}).unsure.empty());
 }
 
-// What the agent says of a flow at each of its stages.
+// Checks the agent's answer for a flow at each stage.
 BOOST_AUTO_TEST_CASE(an_agent_tells_held_flows_from_half_open_ones) {
   auto agent = MakeAgent();
   const auto port = kClient.port;
@@ -205,16 +211,16 @@
   BOOST_TEST(AnswerQuery(agent, QueryOf(port), kStart).held.size() == 1U);
 }
 
-// A client downloads through a balancer that has just started, and the agent has been started
-// again too. The client sends acknowledgements alone; the target's data shows that it holds the
-// flow.
+// A client downloads through a balancer that has just started, and the agent has restarted too. The
+// client sends only acknowledgements, but the target's data shows that the target holds the flow.
 BOOST_AUTO_TEST_CASE(an_agent_learns_flows_from_what_its_target_sends) {
   auto agent = MakeAgent();
   FromTarget(agent, Reply(1000), kStart);
   BOOST_TEST(AnswerQuery(agent, QueryOf(kClient.port), kStart).held.size() == 1U);
 }
 
-// A target that said that it leaves is delivered packets for a moment more, and then holds nothing.
+// A target that has sent its leave message gets packets for a short time more. After that it holds
+// no flows.
 BOOST_AUTO_TEST_CASE(a_target_that_left_holds_nothing) {
   auto agent = MakeAgent();
   FromTarget(agent, Reply(1000), kStart);
@@ -228,8 +234,8 @@
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), gone)).by_target);
 }
 
-// Lists that differ come from many balancers at once. What the agent knew before holds until its
-// next check, and it proves nothing in between.
+// Many balancers send different lists at once. The agent keeps its previous list until its next
+// check, and it proves no flow lost in between.
 BOOST_AUTO_TEST_CASE(hellos_count_together_at_the_next_check) {
   auto agent = MakeAgent();
   const auto settled = kStart + agent.policy.settle_for;
@@ -242,8 +248,8 @@
   BOOST_TEST(IsSettled(agent, settled + agent.policy.settle_for));
 }
 
-// The list is sent once; after that its digest says that it is the same. An agent that was started
-// again, or missed a change, has to get the list anew.
+// A balancer sends the list once and afterwards only its digest. An agent that restarted or missed
+// a change must receive the list again.
 BOOST_AUTO_TEST_CASE(a_digest_stands_for_a_list_that_the_agent_holds) {
   auto agent = MakeAgent();
   const auto full_hello = MakeHello({kOwn, kOther});
@@ -257,8 +263,8 @@
   BOOST_TEST(MakeReport(agent, kBalancer + 1, kStart).wanted_list == 0U);
 }
 
-// 91 balancers name the same new list within some milliseconds. Asked for it by each agent, they
-// would send it 91 times to each.
+// 91 balancers name the same new list within some milliseconds. If an agent requested the list from
+// each of them, it would receive the list 91 times.
 BOOST_AUTO_TEST_CASE(a_list_that_many_balancers_name_is_asked_for_once) {
   constexpr auto balancers = Address{91};
   auto agent = MakeAgent();
@@ -277,11 +283,12 @@
   DeliverHello(agent, asked.front(), next, kStart);
   for (const auto& [balancer, known] : agent.balancers) BOOST_TEST(known.digest == next.digest);
   BOOST_TEST(agent.peers.size() == 3U);
-  DeliverHello(agent, kBalancer + balancers, brief, kStart);  // starts later, and need not tell it
+  DeliverHello(agent, kBalancer + balancers, brief, kStart);  // starts later; no list needed
   BOOST_TEST(MakeReport(agent, kBalancer + balancers, kStart).wanted_list == 0U);
 }
 
-// The datagram with the list is lost, or its balancer has just ended: another one is asked.
+// The datagram with the list is lost, or the requested balancer has just exited. The agent requests
+// the list from another balancer.
 BOOST_AUTO_TEST_CASE(a_list_that_does_not_come_is_asked_for_again) {
   auto agent = MakeAgent();
   const auto brief = Hello{kDesk, {}, true, false, 4711};
@@ -294,8 +301,8 @@
   BOOST_TEST(MakeReport(agent, kBalancer + 1, later).wanted_list == brief.digest);
 }
 
-// A list comes in parts, out of order, and one is lost at first. Until all have come the agent goes
-// by what it was told before, and its report makes the balancer send the list again.
+// A list arrives in parts, out of order, and one part is lost at first. Until all parts have
+// arrived, the agent uses its previous list, and its report makes the balancer send the list again.
 BOOST_AUTO_TEST_CASE(a_list_in_parts_counts_once_it_is_whole) {
   auto agent = MakeAgent();
   const auto before = agent.peers;
@@ -320,8 +327,9 @@
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).wanted_list == 0U);
 }
 
-// All balancers have ended and the platform is away: some agents have to have the configuration, of
-// 200 as of three, and not all of them, since each change of it goes to each that keeps it.
+// All balancers have exited and the platform is unreachable, so some agents must hold the
+// configuration, whether the service has 200 agents or three. Not all of them hold it, since each
+// change is sent to every agent that does.
 BOOST_AUTO_TEST_CASE(a_few_agents_of_a_service_keep_the_configuration) {
   for (const auto count : {Address{3}, Address{200}}) {
     auto all = std::vector<Address>{};
@@ -337,8 +345,8 @@
   }
 }
 
-// Balancers that were started again know nobody; agents tell those that have fallen silent of
-// themselves, the last heard first and a few at a time.
+// Restarted balancers know no agents. Agents announce themselves to balancers that have stopped
+// sending hellos, a few at a time and the most recently heard ones first.
 BOOST_AUTO_TEST_CASE(balancers_that_have_fallen_silent_are_told_of_the_agent) {
   auto agent = MakeAgent();
   auto hello = MakeHello({kOwn, kOther});
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -6,8 +6,8 @@
 namespace anvildrum::packets::agent_tests {
 namespace {
 
-// The target has said that it drains. Openings of balancers that have not heard of it still come
-// here, and the target would take them.
+// The target has reported that it drains. Balancers that do not know this yet still send openings
+// here, and the target would accept them.
 BOOST_AUTO_TEST_CASE(a_draining_target_is_given_no_opening_but_its_flows_packets) {
   auto agent = MakeAgent();
   BOOST_TEST(
@@ -16,9 +16,10 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
 }
 
-// All agents were killed and started again; the targets live on with their flows, and their next
-// heartbeats come within a second. Until then the agent delivers packets of flows, which the target
-// gives back if they are not its own, but no opening: the target may be draining.
+// All agents were killed and restarted while the targets kept running with their flows, and the
+// next heartbeats arrive within a second. Until then the agent delivers packets of established
+// flows, which the target gives back if it does not hold the flow. It delivers no opening because
+// the target may be draining.
 BOOST_AUTO_TEST_CASE(an_agent_that_has_just_started_delivers_packets_but_no_opening) {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -28,7 +29,8 @@
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), kStart)));
 }
 
-// The agent ends in a moment; an opening that it took would be silent until the next one is there.
+// The agent is about to exit. The flow of an opening that it accepted would get no answer until the
+// next agent process runs.
 BOOST_AUTO_TEST_CASE(a_stopping_agent_takes_no_opening) {
   auto agent = MakeAgent();
   agent.stopping = true;
@@ -36,9 +38,8 @@
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kStopping));
 }
 
-// A target leaves for good, and its machine is taken away with it. As long as the agent counts as
-// one that comes back, no flow of its service can be reset: nobody knows whether its target holds
-// it.
+// A target leaves for good and its instance is removed. As long as balancers expect this agent to
+// come back, they cannot reset any flow of the service because the target may still hold it.
 BOOST_AUTO_TEST_CASE(a_stopping_agent_whose_target_has_left_holds_nothing) {
   auto agent = MakeAgent();
   agent.stopping = true;
@@ -47,9 +48,9 @@
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kAbsent));
 }
 
-// All machines lost power. One agent's target does not come back, and the agent is stopped a second
-// later, before it takes the target for gone. Said to come back, it kept all lost flows of the
-// service from being reset for as long as balancers wait for it.
+// All instances lost power. One agent's target does not come back, and the agent is stopped a
+// second later, before its normal time-out for a silent target. When the agent reported that it
+// would come back, no lost flow of the service was reset for as long as balancers waited for it.
 BOOST_AUTO_TEST_CASE(a_stopping_agent_that_never_heard_of_its_target_holds_nothing) {
   auto agent = MakeAgent();
   agent.target = {};
@@ -65,9 +66,10 @@
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kStopping));
 }
 
-// The agent was started again beside a live target whose id an earlier start had, and that start's
-// late leave was the first that it heard: the target's own heartbeat is not believed yet. Stopped
-// now, the agent must not say that there is no target.
+// The agent restarted beside a live target that reuses the id of an earlier start. The first
+// message that the agent received was the delayed leave message of that start, so it does not
+// accept the target's own heartbeat yet. If it is stopped now, it must not report that there is no
+// target.
 BOOST_AUTO_TEST_CASE(a_stopping_agent_with_a_heartbeat_in_doubt_may_have_a_target) {
   auto agent = MakeAgent();
   agent.target = {};
@@ -88,9 +90,9 @@
   BOOST_TEST((StateOf(agent, silent + milliseconds{1}) == TargetState::kAbsent));
 }
 
-// All machines lost power, and this one's target does not come back. Packets of flows go back to
-// their balancers at once, which learn that no flow is held here; but not before a live target
-// would have been heard of, counted from the end of a pause.
+// All instances lost power, and the target on this one does not come back. Packets of flows are
+// returned to their balancers, which learn that no flow is held here. The agent waits until a live
+// target would have sent a heartbeat, counted from the end of any pause of the agent.
 BOOST_AUTO_TEST_CASE(a_target_that_is_never_heard_of_is_not_there) {
   auto agent = MakeAgent();
   agent.target = {};
@@ -98,15 +100,15 @@
   const auto report = [&](base::TimePoint now) { return MakeReport(agent, kBalancer, now).state; };
   const auto heard_by = kStart + agent.policy.silent_for;
   NoteEvent(agent.stall, heard_by);
-  agent.stall.running_since = kStart;  // it ran all the time
+  agent.stall.running_since = kStart;  // the agent ran without a pause
   BOOST_TEST((report(heard_by) == TargetState::kUnknown));
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kAbsent));
   agent.stall = StallWatch{};
   NoteEvent(agent.stall, kStart);
-  BOOST_TEST((report(heard_by) == TargetState::kUnknown));  // it was paused all the while
+  BOOST_TEST((report(heard_by) == TargetState::kUnknown));  // the agent was paused meanwhile
   const auto later = heard_by + agent.policy.silent_for + milliseconds{1};
   NoteEvent(agent.stall, later);
-  agent.stall.running_since = heard_by;  // it ran all the time since
+  agent.stall.running_since = heard_by;  // the agent ran without a pause since then
   BOOST_TEST((report(later) == TargetState::kAbsent));
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), later);
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
@@ -114,7 +116,7 @@
   BOOST_TEST((report(later) == TargetState::kReady));
 }
 
-// A target says that it leaves and exits; for some milliseconds it is still alive.
+// A target sends its leave message and exits, but still runs for some milliseconds.
 BOOST_AUTO_TEST_CASE(a_leaving_target_is_given_its_flows_packets_for_a_moment) {
   auto agent = MakeAgent();
   TakeLeave(agent, 1, kStart);
@@ -124,8 +126,9 @@
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
 }
 
-// A cut held up a heartbeat of a target that then crashed; the next one has announced itself. The
-// late one says that it drains: the live target would get no flow any more.
+// A network partition delayed a heartbeat of a target that then crashed, and its successor has sent
+// a heartbeat since. The delayed one says that the target drains. If the agent accepted it, the
+// live target would get no more flows.
 BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_an_earlier_incarnation_changes_nothing) {
   auto agent = MakeAgent();
   TakeHeartbeat(agent, MakeHeartbeat(2, 1), kStart + seconds{1});
@@ -150,9 +153,9 @@
   BOOST_TEST((MakeReport(agent, kBalancer, later).state == TargetState::kAbsent));
 }
 
-// A target ends without a word. Two seconds later its address serves another service, and the agent
-// is told a moment after that. An opening that is still given to it would be run by a service that
-// it was not meant for; packets of open flows may be, since the new target gives them back.
+// A target exits without a leave message. Two seconds later its address serves another service, and
+// the agent learns of the change only after that. The wrong service would serve any opening that is
+// still delivered. Packets of open flows may be delivered, since the new target gives them back.
 BOOST_AUTO_TEST_CASE(a_silent_target_is_given_no_opening) {
   auto agent = MakeAgent();
   const auto heard = kStart + agent.policy.silent_for;
@@ -168,9 +171,9 @@
   BOOST_TEST((MakeReport(agent, kBalancer, silent).state == TargetState::kReady));
 }
 
-// The first heartbeat of a target of another service comes before the changed settings are read.
-// It does not count as this service's target; it is told apart from a late one of a former
-// incarnation, so that the process reads its settings at once.
+// The first heartbeat of another service's target arrives before the agent has read its changed
+// settings. The agent does not accept the sender as this service's target. It distinguishes this
+// heartbeat from a late one of a former incarnation, so that it reads its settings at once.
 BOOST_AUTO_TEST_CASE(a_heartbeat_for_another_service_is_told_apart) {
   auto agent = MakeAgent();
   auto heartbeat = MakeHeartbeat(2, 1);
@@ -181,14 +184,15 @@
   BOOST_TEST((TakeHeartbeat(agent, heartbeat, kStart) == HeartbeatOutcome::kStale));
 }
 
-// A target crashes. Until its heartbeats are missed its clients' openings would wait for nothing,
-// and its flows could not be said to be lost. Its port refuses a connection at once.
+// A target crashes, and its port refuses connections at once. If the agent waited for missing
+// heartbeats, openings would get no answer until then and the target's flows could not be declared
+// lost.
 BOOST_AUTO_TEST_CASE(a_target_whose_port_refuses_a_connection_is_gone) {
   auto agent = MakeAgent();
   FromPeer(agent, Opening(), kStart);
   const auto crashed = kStart + milliseconds{100};
   BOOST_TEST(TakeRefusal(agent, crashed, crashed));
-  BOOST_TEST(!TakeRefusal(agent, crashed, crashed));  // nothing new
+  BOOST_TEST(!TakeRefusal(agent, crashed, crashed));  // no change of state
   BOOST_TEST((MakeReport(agent, kBalancer, crashed).state == TargetState::kAbsent));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), crashed)));
   BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), crashed)).by_target);
@@ -197,7 +201,8 @@
   BOOST_TEST((StateOf(agent, crashed + seconds{1}) == TargetState::kReady));
 }
 
-// All machines lost power and this one's target does not come back: no heartbeat has to be missed.
+// All instances lost power and the target on this one does not come back. After a refused
+// connection the agent does not have to wait for missing heartbeats.
 BOOST_AUTO_TEST_CASE(a_target_that_was_never_heard_of_and_whose_port_refuses_is_not_there) {
   auto agent = MakeAgent();
   agent.target = {};
@@ -205,15 +210,15 @@
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kAbsent));
 }
 
-// The attempt was refused before the target had opened its port; its first heartbeat came before
-// the refusal was handled.
+// A connection attempt was refused before the target opened its port, but the target's first
+// heartbeat was processed before the refusal.
 BOOST_AUTO_TEST_CASE(a_refusal_older_than_the_last_heartbeat_tells_nothing) {
   auto agent = MakeAgent();
   BOOST_TEST(!TakeRefusal(agent, kStart - milliseconds{1}, kStart + milliseconds{1}));
   BOOST_TEST((StateOf(agent, kStart) == TargetState::kReady));
 }
 
-// A target that drains may close its port and still serve its flows.
+// A draining target may close its listening port and still serve its open flows.
 BOOST_AUTO_TEST_CASE(a_refusal_by_a_draining_target_ends_no_flow) {
   auto agent = MakeAgent();
   TakeHeartbeat(agent, MakeHeartbeat(1, 2, true), kStart);
@@ -221,8 +226,8 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
 }
 
-// The port refused, and yet the target lives: it is believed once it goes on, and its flows are in
-// doubt until their next packets.
+// The target is alive although its port refused a connection. The agent accepts it again once it
+// continues to send heartbeats, and reports its flows as unsure until their next packets.
 BOOST_AUTO_TEST_CASE(a_target_that_goes_on_after_a_refusal_is_believed_again) {
   auto agent = MakeAgent();
   FromTarget(agent, Reply(100), kStart);
--- a/src/packets/tests/agent_test.cc
+++ b/src/packets/tests/agent_test.cc
@@ -14,8 +14,9 @@
   BOOST_TEST(std::holds_alternative<SendToClient>(FromTarget(agent, Reply(10), kStart)));
 }
 
-// A balancer still has the record of desk for an address that mapper uses now, and sends it an
-// opening of desk. Mapper would serve it. The stamp names the service that was chosen.
+// A balancer still maps an address to service kDesk although a kMapper target uses it now, and
+// sends an opening for kDesk there. The kMapper target would accept it, so the agent compares the
+// service in the packet's stamp with its own.
 BOOST_AUTO_TEST_CASE(a_packet_for_another_service_is_never_delivered) {
   auto agent = MakeAgent();
   auto packet = Opening();
@@ -25,8 +26,9 @@
   BOOST_TEST(agent.counters.wrong_service == 1U);
 }
 
-// The agent was restarted and remembers nothing; or the flow's owner is another. The target gives
-// the packet back. Passed on from target to target it would load all of them; its balancer asks.
+// The target gives back a packet of a flow that it does not hold, because another target holds it.
+// The agent, which may have restarted and lost its flow table, returns the packet to the balancer,
+// which searches for the flow. Passing it from target to target would load all of them.
 BOOST_AUTO_TEST_CASE(what_the_target_gives_back_goes_to_its_balancer) {
   auto agent = MakeAgent();
   const auto verdict = FromTarget(agent, Returned(Data()), kStart);
@@ -36,8 +38,8 @@
   BOOST_TEST((BalancersOf(agent, OriginTagOf(kBalancer)) == std::vector<Address>{kBalancer}));
 }
 
-// A flow has ended in good order; its client's last acknowledgement is given back by the target. A
-// search for each flow that ends would ask all agents, and find nothing.
+// A flow has closed normally, and the target gives back the client's last acknowledgement. A search
+// for each closed flow would query all agents and find nothing.
 BOOST_AUTO_TEST_CASE(the_last_acknowledgement_of_an_ended_flow_is_not_searched_for) {
   auto agent = MakeAgent();
   FromPeer(agent, Opening(), kStart);
@@ -54,8 +56,8 @@
   BOOST_TEST(std::holds_alternative<GiveBack>(FromTarget(agent, Returned(Data()), kStart)));
 }
 
-// A reset is true only for an opening that has been offered nowhere else; another offer of it may
-// have opened the flow, and the reset would break it.
+// An opening may be refused with a reset only if it has been offered to no other target. Otherwise
+// the flow may have opened there, and the reset would break it.
 BOOST_AUTO_TEST_CASE(only_a_sole_opening_that_nobody_takes_is_refused) {
   auto agent = MakeAgent();
   auto last = Returned(Opening(true));
@@ -65,9 +67,9 @@
   BOOST_TEST(std::holds_alternative<Discard>(FromTarget(agent, last, kStart)));
 }
 
-// The process was paused, and wakes with an opening in its socket that its client has long since
-// sent again. A copy was taken by another target and the flow is open; refused now, it would be
-// reset.
+// The process was paused and resumes with an old opening in its socket. The client has
+// retransmitted it meanwhile and the flow has opened at another target. Refusing the old opening
+// would reset that flow.
 BOOST_AUTO_TEST_CASE(an_opening_that_waited_while_the_process_stood_still_is_not_refused) {
   auto agent = MakeAgent();
   TakeHeartbeat(agent, MakeHeartbeat(1, 2, true), kStart);
@@ -83,10 +85,10 @@
   BOOST_TEST(std::get<ForwardToAgent>(fresh).stamp.refusable);
 }
 
-// A client's opening is answered late, so its copy goes to another target, which answers too. The
-// client goes on with the other one's answer; its packets still come here, since this agent was the
-// last that the balancer chose. The target holds the flow half open and would swallow them: the
-// client sees an established flow fall silent.
+// A client's opening is answered late, so its retransmitted copy goes to another target, which
+// answers too. The client continues with the other target's answer, but its packets still come
+// here because the balancer chose this agent last. The target holds the flow half open and would
+// drop them silently, and the client's established flow would stall.
 BOOST_AUTO_TEST_CASE(packets_of_a_flow_that_opened_at_another_target_are_given_back) {
   auto agent = MakeAgent();
   FromPeer(agent, Opening(false), kStart);
@@ -96,12 +98,13 @@
   for (auto i = 0; i < 2; ++i) {
     const auto verdict = FromPeer(agent, data, kStart);
     BOOST_REQUIRE(std::holds_alternative<GiveBack>(verdict));
-    BOOST_TEST(!std::get<GiveBack>(verdict).by_target);  // its target holds the flow half open
+    BOOST_TEST(!std::get<GiveBack>(verdict).by_target);  // the target holds the flow half open
   }
 }
 
-// The agent was started again and forgot that its target holds the flow half open; balancers send
-// the flow here. The target swallows its packets, and another one that holds it open gets none.
+// A restarted agent no longer knows that its target holds the flow half open, and balancers send
+// the flow here. The target drops its packets silently, and the target that holds the flow
+// established gets none of them.
 BOOST_AUTO_TEST_CASE(where_the_target_does_not_react_every_other_packet_is_given_back) {
   auto agent = MakeAgent();
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
@@ -123,8 +126,8 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, data, kStart)));
 }
 
-// An opening came by way of an agent that had no place. Its balancer would send the client's next
-// packet there, and the target would give it back.
+// An opening was passed on by an agent whose target had no free slot. Unless its balancer is told,
+// it sends the client's next packet to that agent, whose target gives it back.
 BOOST_AUTO_TEST_CASE(the_balancer_of_an_opening_that_came_by_way_of_others_is_told) {
   auto agent = MakeAgent();
   BOOST_TEST(!std::get<DeliverToTarget>(FromPeer(agent, OpeningOf(1, 0), kStart)).located);
@@ -133,7 +136,8 @@
   BOOST_TEST(std::get<DeliverToTarget>(FromPeer(agent, passed_on, kStart)).located);
 }
 
-// The agent was started again and does not know the flow; the target does. Its first answer tells.
+// A restarted agent does not know a flow that its target holds. It learns this from the target's
+// first answer.
 BOOST_AUTO_TEST_CASE(the_balancer_is_told_once_the_target_has_shown_that_it_holds_the_flow) {
   auto agent = MakeAgent();
   auto data = Data();
--- a/src/packets/tests/agent_test_utils.h
+++ b/src/packets/tests/agent_test_utils.h
@@ -5,7 +5,7 @@
 
 #include "packets/agent.h"
 
-/// Packets, heartbeats and hellos for the tests of an agent.
+/// Builders of packets, heartbeats and hellos for the agent's tests.
 namespace anvildrum::packets::agent_tests {
 
 using base::milliseconds;
@@ -36,7 +36,7 @@
           .slots = 4};
 }
 
-/// A heartbeat of a target that tells when it started.
+/// Returns a heartbeat that carries the target's start time.
 inline auto MakeHeartbeatWithStart(std::uint64_t id, std::uint64_t started_ms,
                                    std::uint64_t sequence, bool draining = false) -> Heartbeat {
   auto heartbeat = MakeHeartbeat(id, sequence, draining);
@@ -44,7 +44,7 @@
   return heartbeat;
 }
 
-/// A hello comes, and the agent's next check after it.
+/// Delivers a hello and runs the agent's next periodic check. Returns what TakeHello returned.
 inline auto DeliverHello(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now)
     -> bool {
   const auto taken = TakeHello(agent, balancer, hello, now);
@@ -52,7 +52,7 @@
   return taken;
 }
 
-/// An agent of desk with a ready target and one peer.
+/// Returns an agent of service kDesk that has a ready target and one peer.
 inline auto MakeAgent() -> Agent {
   auto agent = Agent{};
   agent.own = kOwn;
@@ -96,7 +96,7 @@
   return packet;
 }
 
-/// The target's answer to an opening.
+/// Returns the target's answer to an opening (SYN-ACK).
 inline auto OpeningAnswer(std::uint32_t sequence) -> Packet {
   auto answer = Reply(0);
   answer.synchronize = true;
--- a/src/packets/tests/cold_test.cc
+++ b/src/packets/tests/cold_test.cc
@@ -13,7 +13,8 @@
 constexpr auto kOpeningInterval = milliseconds{3};  // about 300 openings a second
 constexpr auto kColdMs = std::uint32_t{2000};
 
-/// What the users bear in any second: one and a half times the rate, and five.
+/// The highest number of openings that a cold target may get in any second: one and a half times
+/// the rate, plus five.
 auto MaxOpeningsInSecond(std::uint32_t per_second) -> std::size_t { return per_second * 3 / 2 + 5; }
 
 auto ColdHeartbeat(std::uint64_t sequence) -> Heartbeat {
@@ -40,7 +41,7 @@
   return agent;
 }
 
-/// Counts openings that reach the target, and the most in any second so far.
+/// Counts the openings that reach the target and records the highest count in any one second.
 struct OpeningCounter {
   auto Add(base::TimePoint now) -> void {
     this->times.push_back(now);
@@ -55,9 +56,9 @@
   return std::holds_alternative<DeliverToTarget>(FromPeer(agent, OpeningOf(port, 0), now));
 }
 
-// A domain is taken back with all targets cold. 300 openings a second come to one of them from all
-// balancers, and its agent is started again in the middle: it has forgotten what it gave. In no
-// second the target gets more than it bears.
+// A failure domain returns to service with all targets cold. All balancers together send 300
+// openings per second to one of them, and its agent restarts meanwhile and loses its count of
+// delivered openings. The target must not get more than its limit in any second.
 BOOST_AUTO_TEST_CASE(a_cold_target_gets_no_more_than_its_limit_from_all_balancers) {
   for (const auto rate : {5U, 20U, 80U}) {
     auto agent = ColdAgent(rate);
@@ -80,7 +81,8 @@
   }
 }
 
-// An agent that has just started has not been told how much its target bears while it is cold.
+// An agent that has just started does not know yet how many openings per second its cold target
+// can handle.
 BOOST_AUTO_TEST_CASE(a_cold_target_is_given_little_before_a_balancer_tells_its_rate) {
   auto agent = ColdAgent(std::nullopt);
   auto taken = 0U;
@@ -104,8 +106,8 @@
   }
 }
 
-// A target's heartbeat said that it is warm, then its domain was drained, became cold, and is taken
-// back before the next heartbeat tells so.
+// A target's heartbeat reports that it is warm. Then its failure domain is drained, the target
+// becomes cold, and the domain returns to service before the next heartbeat reports that.
 BOOST_AUTO_TEST_CASE(a_target_of_a_domain_returned_to_service_counts_as_cold_until_its_heartbeat) {
   auto agent = ColdAgent(5);
   agent.domain = 1;
@@ -129,7 +131,7 @@
   BOOST_TEST(Offer(agent, 21, kStart));
 }
 
-// A balancer without a configuration says nothing of rates; the one that was told before holds.
+// A balancer without a configuration sends no rates, so the rate received earlier stays in force.
 BOOST_AUTO_TEST_CASE(a_balancer_that_knows_no_configuration_lifts_no_limit) {
   auto agent = ColdAgent(5);
   auto hello = HelloWithRate(0);
--- a/src/packets/tests/drain_test.cc
+++ b/src/packets/tests/drain_test.cc
@@ -15,7 +15,8 @@
 constexpr auto kSouth = DomainTag{3};
 constexpr auto kAgentsInDomain = Address{4};
 
-/// A balancer in kNorth with agents of desk there and in kSouth, each with a ready target.
+/// A balancer in kNorth that knows agents of service kDesk in kNorth and kSouth, each with a ready
+/// target.
 struct DrainFixture {
   DrainFixture() {
     this->balancer.view.policy = this->balancer.policy.view;
@@ -50,7 +51,7 @@
     return RoutePacket(this->balancer, packet, kStart);
   }
 
-  /// Domains that openings of 100 flows are sent to.
+  /// Returns the failure domains to which the openings of 100 flows are sent.
   auto DomainsUsed() -> std::set<DomainTag> {
     auto used = std::set<DomainTag>{};
     for (auto port = std::uint16_t{1}; port <= 100; ++port) {
@@ -66,7 +67,7 @@
   std::uint64_t sequence = 0;
 };
 
-/// The agent itself is in kNorth, its one peer in kSouth.
+/// Returns a hello that lists the agent itself in kNorth and one peer in kSouth.
 auto HelloWithDrained(std::uint64_t revision, std::vector<DomainTag> domains) -> Hello {
   auto hello = MakeHello({kOwn, kOther});
   hello.peers[0].domain = kNorth;
@@ -83,9 +84,9 @@
   return agent;
 }
 
-// An operator drains the domain that the balancer itself is in. Its clients' flows open in another
-// one; the openings that went on to targets there for 9 s would have run on machines that the
-// operator is about to switch off.
+// An operator drains the failure domain of the balancer itself, and new flows must open in another
+// one. Without this, openings went to targets in the drained domain for another 9 s and their
+// requests ran on instances that the operator was about to switch off.
 BOOST_AUTO_TEST_CASE(openings_stop_going_to_a_drained_domain_and_come_back) {
   auto fixture = DrainFixture{};
   fixture.Drain(10, {kNorth});
@@ -95,8 +96,8 @@
   BOOST_TEST(fixture.DomainsUsed().contains(kNorth));
 }
 
-// Two domains are drained at once, and all of the service's targets are there: an opening is
-// refused at once, and the reason tells the operator why.
+// Two failure domains that hold all targets of the service are drained at once. An opening is
+// refused immediately, with a reason that tells the operator why.
 BOOST_AUTO_TEST_CASE(with_all_domains_drained_openings_are_refused_at_once) {
   auto fixture = DrainFixture{};
   fixture.Drain(10, {kSouth, kNorth});
@@ -105,8 +106,8 @@
   BOOST_TEST((std::get<RefuseOpening>(verdict).reason == DiscardReason::kDrained));
 }
 
-// All balancers were started again in an outage of the platform, and this one has heard of the
-// drained domain's agents alone so far. A refusal would use up its clients' tries.
+// All balancers restarted during an outage of the platform, and this one has heard only of the
+// agents in the drained domain so far. A refusal would use up its clients' retries.
 BOOST_AUTO_TEST_CASE(a_balancer_that_may_not_know_all_agents_yet_refuses_nothing) {
   auto fixture = DrainFixture{};
   fixture.balancer.records_at = {};
@@ -120,9 +121,9 @@
   BOOST_TEST(std::holds_alternative<RefuseOpening>(fixture.Open(3)));
 }
 
-// The first opening of a flow was sent to a target just before its domain was drained, and its copy
-// comes after. Sent to the same agent, since it had been offered there, it would open the flow in
-// the drained domain.
+// The first opening of a flow was sent to a target just before its domain was drained, and the
+// retransmitted copy arrives afterwards. If the copy followed the first opening to the same agent,
+// the flow would open in the drained domain.
 BOOST_AUTO_TEST_CASE(a_copy_does_not_follow_its_opening_into_a_drained_domain) {
   auto fixture = DrainFixture{};
   fixture.Open(1);
@@ -140,8 +141,9 @@
   BOOST_TEST(std::get<ForwardToAgent>(verdict).agent == before);
 }
 
-// Balancers and agents tell each other what they know, and some know it from before an outage. An
-// older set that comes after a newer one would drain a domain that the operator has taken back.
+// Balancers and agents exchange their sets of drained domains, and some hold a set from before an
+// outage. If an older set replaced a newer one, it would drain a domain that the operator has
+// returned to service.
 BOOST_AUTO_TEST_CASE(an_older_set_never_comes_back_over_a_newer_one) {
   auto known = DrainedDomains{};
   BOOST_TEST(TakeDrained(known, DrainedOf(10, {kNorth})));
@@ -154,8 +156,8 @@
   BOOST_TEST(!TakeDrained(known, {}));
 }
 
-// Agents are told at once, as of any change: one that knows it passes openings on whatever balancer
-// sends them.
+// Agents are told of a drain at once, as of any other change. An agent that knows of it passes
+// openings on, whichever balancer sends them.
 BOOST_AUTO_TEST_CASE(a_drain_makes_hellos_due_and_is_included_in_them) {
   auto fixture = DrainFixture{};
   const auto before = fixture.balancer.view.changes;
@@ -167,8 +169,9 @@
   BOOST_TEST((hellos.at(kDesk).brief.drained == DrainedOf(11, {kNorth})));
 }
 
-// A balancer that was started again does not know of the drain yet and offers an opening to an
-// agent there. The agent knows, and passes it on to a domain that is not drained.
+// A restarted balancer does not know of the drain yet and sends an opening to an agent in the
+// drained domain. The agent knows of the drain and passes the opening on to a domain that is not
+// drained.
 BOOST_AUTO_TEST_CASE(an_agent_of_a_drained_domain_passes_openings_on) {
   auto agent = AgentInNorth();
   TakeHello(agent, kBalancer, HelloWithDrained(10, {kNorth}), kStart);
@@ -179,13 +182,14 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Opening(), kStart)));
 }
 
-// Where the agents left are drained too, passing the opening round them would only make its client
-// wait for the refusal.
+// When the remaining agents are in drained domains too, passing the opening from one to the next
+// would only delay the refusal.
 BOOST_AUTO_TEST_CASE(an_agent_passes_nothing_on_to_drained_domains) {
   auto agent = AgentInNorth();
   TakeHello(agent, kBalancer, HelloWithDrained(10, {kNorth, kSouth}), kStart);
   RefreshPeers(agent, kStart);
-  BOOST_TEST(std::holds_alternative<Discard>(FromPeer(agent, Opening(), kStart)));  // too early
+  BOOST_TEST(std::holds_alternative<Discard>(
+      FromPeer(agent, Opening(), kStart)));  // peers not settled yet
   const auto settled = kStart + agent.policy.settle_for;
   for (auto now = kStart; now < settled; now += kStallCheck) NoteEvent(agent.stall, now);
   BOOST_TEST(std::holds_alternative<RefuseOpening>(FromPeer(agent, Opening(), settled)));
@@ -201,21 +205,22 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, data, kStart)));
 }
 
-// All balancers are started again while the platform is silent. Each learns from the reports of
-// agents what is drained, and needs no platform for it.
+// All balancers restart while the platform does not respond. Each learns the drained domains from
+// the agents' reports and does not need the platform for this.
 BOOST_AUTO_TEST_CASE(a_balancer_that_knows_nothing_is_told_by_agents) {
   auto agent = AgentInNorth();
   TakeHello(agent, kBalancer, HelloWithDrained(10, {kNorth}), kStart);
   constexpr auto other = kBalancer + 1;
   TakeHello(agent, other, HelloWithDrained(0, {}), kStart);
   BOOST_TEST((MakeReport(agent, other, kStart).drained == DrainedOf(10, {kNorth})));
-  // One that knows the same, or newer, costs no bytes.
+  // The set is left out of reports to a balancer that holds the same or a newer one.
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).drained.revision == 0U);
   TakeHello(agent, other, HelloWithDrained(9, {kNorth}), kStart);
   BOOST_TEST(MakeReport(agent, other, kStart).drained.revision == 0U);
 }
 
-// A hello for agents of another service is not taken, but what the operator wants holds for all.
+// A hello for agents of another service is rejected, but the set of drained domains in it applies
+// to agents of every service.
 BOOST_AUTO_TEST_CASE(an_agent_learns_of_a_drain_by_a_hello_for_another_service) {
   auto agent = AgentInNorth();
   auto hello = HelloWithDrained(10, {kNorth});
