--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -84,15 +84,15 @@
 }
 
 // One of 91 balancers, which send a hello every two seconds, knows an agent that the others do not.
-// That balancer reports the agent within a tenth of that period.
-BOOST_AUTO_TEST_CASE(where_balancers_greet_less_often_agents_settle_later) {
+// The hello that adds that agent is sent within a tenth of the period.
+BOOST_AUTO_TEST_CASE(agents_settle_later_when_hellos_are_less_frequent) {
   auto agent = MakeAgent();
   auto hello = MakeHello({kOwn, kOther});
   hello.every = seconds{2};
   DeliverHello(agent, kBalancer, hello, kStart);
   BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
   BOOST_TEST(IsSettled(agent, kStart + milliseconds{500}));
-  BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // four hello periods
+  BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // a hello counts for four of its periods
   BOOST_TEST(!IsSettled(agent, kStart + seconds{8} + milliseconds{1}));
 }
 
--- a/src/packets/tests/agent_test.cc
+++ b/src/packets/tests/agent_test.cc
@@ -126,8 +126,8 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, data, kStart)));
 }
 
-// An opening was passed on by an agent whose target had no free slot. Unless its balancer is told,
-// it sends the client's next packet to that agent, whose target gives it back.
+// An opening was passed on by an agent whose target had no free slot. Unless the balancer is told,
+// the balancer sends the client's next packet to that agent, whose target gives it back.
 BOOST_AUTO_TEST_CASE(the_balancer_of_an_opening_that_came_by_way_of_others_is_told) {
   auto agent = MakeAgent();
   BOOST_TEST(!std::get<DeliverToTarget>(FromPeer(agent, OpeningOf(1, 0), kStart)).located);
