--- a/src/packets/tests/agent_rig.h
+++ b/src/packets/tests/agent_test_utils.h
@@ -5,7 +5,7 @@
 
 #include "packets/agent.h"
 
-/// Packets, heartbeats and hellos for the tests of an agent.
+/// Builders of packets, heartbeats and hellos for the agent's tests.
 namespace anvildrum::packets::agent_tests {
 
 using base::milliseconds;
@@ -20,14 +20,15 @@
 inline constexpr auto kClient = End{0x64400007, 40001};
 inline constexpr auto kRoute = End{0xc6120001, 443};
 
-inline auto HelloOf(const std::vector<Address>& agents, bool complete = true) -> Hello {
+inline auto MakeHello(const std::vector<Address>& agents, bool complete = true) -> Hello {
   auto hello = Hello{kDesk, {}, complete};
   for (const auto agent : agents) hello.peers.push_back({agent, kDesk});
   hello.digest = DigestOf(hello);
   return hello;
 }
 
-inline auto Beat(std::uint64_t id, std::uint64_t sequence, bool draining = false) -> Heartbeat {
+inline auto MakeHeartbeat(std::uint64_t id, std::uint64_t sequence, bool draining = false)
+    -> Heartbeat {
   return {.incarnation = {id, std::nullopt},
           .service = kDesk,
           .sequence = sequence,
@@ -35,28 +36,29 @@
           .slots = 4};
 }
 
-/// A heartbeat of a target that tells when it started.
-inline auto BeatOf(std::uint64_t id, std::uint64_t started_ms, std::uint64_t sequence,
-                   bool draining = false) -> Heartbeat {
-  auto beat = Beat(id, sequence, draining);
-  beat.incarnation.started_ms = started_ms;
-  return beat;
+/// Returns a heartbeat that carries the target's start time.
+inline auto MakeHeartbeatWithStart(std::uint64_t id, std::uint64_t started_ms,
+                                   std::uint64_t sequence, bool draining = false) -> Heartbeat {
+  auto heartbeat = MakeHeartbeat(id, sequence, draining);
+  heartbeat.incarnation.started_ms = started_ms;
+  return heartbeat;
 }
 
-/// A hello comes, and the agent's next check after it.
-inline auto Greet(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now) -> bool {
+/// Delivers a hello and runs the agent's next periodic check. Returns what TakeHello returned.
+inline auto DeliverHello(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now)
+    -> bool {
   const auto taken = TakeHello(agent, balancer, hello, now);
   RefreshPeers(agent, now);
   return taken;
 }
 
-/// An agent of desk with a ready target and one peer.
+/// Returns an agent of service kDesk that has a ready target and one peer.
 inline auto MakeAgent() -> Agent {
   auto agent = Agent{};
   agent.own = kOwn;
   agent.service = kDesk;
-  TakeHeartbeat(agent, Beat(1, 1), kStart);
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
+  TakeHeartbeat(agent, MakeHeartbeat(1, 1), kStart);
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   return agent;
 }
 
@@ -94,7 +96,7 @@
   return packet;
 }
 
-/// The target's answer to an opening.
+/// Returns the target's answer to an opening (SYN-ACK).
 inline auto OpeningAnswer(std::uint32_t sequence) -> Packet {
   auto answer = Reply(0);
   answer.synchronize = true;
