--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -242,35 +242,37 @@
                       const packets::AgentVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(
-      base::Overloaded{
-          [&](const packets::DeliverToTarget& deliver) {
-            this->packet_port->Send(this->settings.agent->target, datagram);
-            if (deliver.located) {
-              this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
-            }
-          },
-          [&](const packets::SendToClient& reply) {
-            if (reply.answered_after) {
-              this->ObserveWork(*reply.answered_after);
-            }
-            if (reply.located_for) {
-              this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
-            }
-            this->packet_port->Send(base::EndpointFromV4(packet.destination.address, port),
-                                    datagram);
-          },
-          [&](const packets::ForwardToAgent& forward) {
-            ForwardPacket(*this->packet_port, this->adapter,
-                          base::EndpointFromV4(forward.agent, port), datagram, forward.stamp);
-          },
-          [&](const packets::RefuseOpening& refuse) {
-            this->Refuse(packet);
-            this->LogDecision("opening_refused", packet, NameOf(refuse.reason));
-          },
-          [&](const packets::GiveBack& back) { this->SendBack(datagram, packet, back.by_target); },
-          [&](const packets::Discard& discard) {
-            this->LogDecision("packet_dropped", packet, NameOf(discard.reason));
-          }},
+      base::Overloaded{[&](const packets::DeliverToTarget& deliver) {
+                         this->packet_port->Send(this->settings.agent->target, datagram);
+                         if (deliver.located) {
+                           this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
+                         }
+                       },
+                       [&](const packets::SendToClient& reply) {
+                         if (reply.answered_after) {
+                           this->ObserveWork(*reply.answered_after);
+                         }
+                         if (reply.located_for) {
+                           this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
+                         }
+                         this->packet_port->Send(
+                             base::EndpointFromV4(packet.destination.address, port), datagram);
+                       },
+                       [&](const packets::ForwardToAgent& forward) {
+                         ForwardPacket(*this->packet_port, this->adapter,
+                                       base::EndpointFromV4(forward.agent, port), datagram,
+                                       forward.stamp);
+                       },
+                       [&](const packets::RefuseOpening& refuse) {
+                         this->Refuse(packet);
+                         this->LogDecision("opening_refused", packet, NameOf(refuse.reason));
+                       },
+                       [&](const packets::ReturnToBalancer& back) {
+                         this->SendBack(datagram, packet, back.by_target);
+                       },
+                       [&](const packets::Discard& discard) {
+                         this->LogDecision("packet_dropped", packet, NameOf(discard.reason));
+                       }},
       verdict);
 }
 
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -227,12 +227,12 @@
 };
 
 /// Send the packet back to the balancer that it came from, which searches for its flow.
-struct GiveBack {
+struct ReturnToBalancer {
   bool by_target = false;  ///< the target does not hold the flow; otherwise it may, half open
 };
 
-using AgentVerdict =
-    std::variant<DeliverToTarget, SendToClient, ForwardToAgent, RefuseOpening, GiveBack, Discard>;
+using AgentVerdict = std::variant<DeliverToTarget, SendToClient, ForwardToAgent, RefuseOpening,
+                                  ReturnToBalancer, Discard>;
 
 /// Decides on a packet that a balancer or another agent sent.
 auto FromPeer(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict;
--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -49,7 +49,7 @@
 
 auto Return(Agent& agent, bool by_target) -> AgentVerdict {
   ++agent.counters.given_back;
-  return GiveBack{by_target};
+  return ReturnToBalancer{by_target};
 }
 
 // The target gave back a packet of a flow. The last acknowledgement of a flow that has ended in
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -239,7 +239,7 @@
   FromTarget(agent, Returned(Data()), kStart);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).in_flight == 0U);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).held == 0U);
-  BOOST_TEST(std::holds_alternative<GiveBack>(FromPeer(agent, Data(), kStart)));
+  BOOST_TEST(std::holds_alternative<ReturnToBalancer>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Opening(), kStart)));
   BOOST_TEST(agent.ended == 0U);
   ForgetQuiet(agent, kStart + agent.policy.flow_idle + milliseconds{1});
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -224,7 +224,7 @@
   const auto answer = AnswerQuery(agent, QueryOf(kClient.port), gone);
   BOOST_TEST(answer.unsure.empty());
   BOOST_TEST(answer.held.empty());
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), gone)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), gone)).by_target);
 }
 
 // Lists that differ come from many balancers at once. What the agent knew before holds until its
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -108,7 +108,7 @@
   agent.stall.running_since = heard_by;  // it ran all the time since
   BOOST_TEST((report(later) == TargetState::kAbsent));
   Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), later);
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), later)).by_target);
   TakeHeartbeat(agent, Beat(1, 1), later);
   BOOST_TEST((report(later) == TargetState::kReady));
 }
@@ -120,7 +120,7 @@
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kDraining));
   const auto later = kStart + agent.policy.leave_for;
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), later)).by_target);
 }
 
 // A cut held up a heartbeat of a target that then crashed; the next one has announced itself. The
@@ -190,7 +190,7 @@
   BOOST_TEST(!TakeRefusal(agent, crashed, crashed));  // nothing new
   BOOST_TEST((MakeReport(agent, kBalancer, crashed).state == TargetState::kAbsent));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), crashed)));
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), crashed)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), crashed)).by_target);
   BOOST_TEST(MakeReport(agent, kBalancer, crashed).in_flight == 0U);
   TakeHeartbeat(agent, Beat(2, 1), crashed + seconds{1});
   BOOST_TEST((StateOf(agent, crashed + seconds{1}) == TargetState::kReady));
--- a/src/packets/tests/agent_test.cc
+++ b/src/packets/tests/agent_test.cc
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(what_the_target_gives_back_goes_to_its_balancer) {
   auto agent = MakeAgent();
   const auto verdict = FromTarget(agent, Returned(Data()), kStart);
-  const auto* back = std::get_if<GiveBack>(&verdict);
+  const auto* back = std::get_if<ReturnToBalancer>(&verdict);
   BOOST_REQUIRE(back != nullptr);
   BOOST_TEST(back->by_target);
   BOOST_TEST((BalancersOf(agent, OriginTagOf(kBalancer)) == std::vector<Address>{kBalancer}));
@@ -51,7 +51,7 @@
   auto bare = Data();
   bare.payload = 0;
   BOOST_TEST(std::holds_alternative<Discard>(FromTarget(agent, Returned(bare), kStart)));
-  BOOST_TEST(std::holds_alternative<GiveBack>(FromTarget(agent, Returned(Data()), kStart)));
+  BOOST_TEST(std::holds_alternative<ReturnToBalancer>(FromTarget(agent, Returned(Data()), kStart)));
 }
 
 // A reset is true only for an opening that has been offered nowhere else; another offer of it may
@@ -95,8 +95,9 @@
   data.acknowledged = 777001;
   for (auto i = 0; i < 2; ++i) {
     const auto verdict = FromPeer(agent, data, kStart);
-    BOOST_REQUIRE(std::holds_alternative<GiveBack>(verdict));
-    BOOST_TEST(!std::get<GiveBack>(verdict).by_target);  // its target holds the flow half open
+    BOOST_REQUIRE(std::holds_alternative<ReturnToBalancer>(verdict));
+    BOOST_TEST(
+        !std::get<ReturnToBalancer>(verdict).by_target);  // its target holds the flow half open
   }
 }
 
@@ -105,7 +106,7 @@
 BOOST_AUTO_TEST_CASE(where_the_target_does_not_react_every_other_packet_is_given_back) {
   auto agent = MakeAgent();
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
-  BOOST_TEST(!std::get<GiveBack>(FromPeer(agent, Data(), kStart)).by_target);
+  BOOST_TEST(!std::get<ReturnToBalancer>(FromPeer(agent, Data(), kStart)).by_target);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
   FromTarget(agent, Reply(0), kStart);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -362,30 +362,31 @@
 
 auto World::Act(AgentSite& site, const Packet& packet, const AgentVerdict& verdict) -> void {
   std::visit(
-      base::Overloaded{[&](const DeliverToTarget& deliver) {
-                         if (deliver.located) {
-                           this->TellLocated(site, FlowFromClient(packet), packet.stamp.origin);
-                         }
-                         this->ToTarget(site, packet);
-                       },
-                       [&](const SendToClient& reply) {
-                         if (reply.located_for) {
-                           this->TellLocated(site, FlowFromTarget(packet), *reply.located_for);
-                         }
-                         this->ToClient(packet);
-                       },
-                       [&](const ForwardToAgent& forward) {
-                         auto stamped = packet;
-                         stamped.returned = false;
-                         stamped.stamp = forward.stamp;
-                         this->ToAgent(forward.agent, stamped);
-                       },
-                       [&](const RefuseOpening&) {
-                         ++this->refusals;
-                         this->ResetClient(FlowFromClient(packet), "an agent's refusal");
-                       },
-                       [&](const GiveBack& back) { this->SendBack(site, packet, back.by_target); },
-                       [](const Discard&) {}},
+      base::Overloaded{
+          [&](const DeliverToTarget& deliver) {
+            if (deliver.located) {
+              this->TellLocated(site, FlowFromClient(packet), packet.stamp.origin);
+            }
+            this->ToTarget(site, packet);
+          },
+          [&](const SendToClient& reply) {
+            if (reply.located_for) {
+              this->TellLocated(site, FlowFromTarget(packet), *reply.located_for);
+            }
+            this->ToClient(packet);
+          },
+          [&](const ForwardToAgent& forward) {
+            auto stamped = packet;
+            stamped.returned = false;
+            stamped.stamp = forward.stamp;
+            this->ToAgent(forward.agent, stamped);
+          },
+          [&](const RefuseOpening&) {
+            ++this->refusals;
+            this->ResetClient(FlowFromClient(packet), "an agent's refusal");
+          },
+          [&](const ReturnToBalancer& back) { this->SendBack(site, packet, back.by_target); },
+          [](const Discard&) {}},
       verdict);
 }
 
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -170,7 +170,7 @@
       packet.returned = true;
       verdict = FromTarget(agent, packet, this->now);
     }
-    const auto& back = std::get<GiveBack>(verdict);
+    const auto& back = std::get<ReturnToBalancer>(verdict);
     const auto flow_of = FlowFromClient(packet);
     this->Apply(TakeProbeBack(this->balancer, flow_of, to, back.by_target, this->now), ended);
   }
--- a/src/packets/tests/search_test.cc
+++ b/src/packets/tests/search_test.cc
@@ -154,7 +154,7 @@
   auto packet = DataOf(9);
   packet.stamp = std::get<ForwardToAgent>(rig.Route(packet)).stamp;
   const auto verdict = FromPeer(rig.agents[half_open - kFirstAgent], packet, rig.now);
-  BOOST_REQUIRE(!std::get<GiveBack>(verdict).by_target);
+  BOOST_REQUIRE(!std::get<ReturnToBalancer>(verdict).by_target);
   TakeGivenBack(rig.balancer, packet, half_open, false, rig.now);
   BOOST_TEST(Count<FlowLost>(rig.Search()) == 0U);
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == holder);
