--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -91,7 +91,7 @@
   this->core.own = AddressOf(settings.packets);
   this->core.domain = packets::DomainTagOf(settings.failure_domain);
   this->core.policy.silent_for = SilentFor(*settings.agent);
-  this->core.policy.unheard_for = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
+  this->core.policy.never_heard_timeout = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
   this->core.policy.heartbeat_every = settings.agent->heartbeat_period;
   this->core.policy.proof_apart = settings.agent->heartbeat_period / 2;
   this->core.service = base::ServiceIdOf(settings.agent->service);
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -36,7 +36,7 @@
   base::Duration silent_for = base::milliseconds{1875};
   /// The same for one that has not been heard of since the process runs, where the process ends:
   /// one heartbeat and a half. A target that lives has said one by then, unless it was lost.
-  base::Duration unheard_for = base::milliseconds{1125};
+  base::Duration never_heard_timeout = base::milliseconds{1125};
   /// Between two heartbeats of an incarnation that is believed only when it goes on: half a period
   /// of 750 ms. Heartbeats that were held up come within some milliseconds of each other.
   base::Duration proof_apart = base::milliseconds{375};
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -26,7 +26,7 @@
 // flows from being reset for five seconds.
 auto ReportedState(const Agent& agent, base::TimePoint now) -> TargetState {
   const auto never_heard = !WasHeard(agent.target) && !agent.target.doubtful && agent.stopping &&
-                           RunsFor(agent, now) > agent.policy.unheard_for;
+                           RunsFor(agent, now) > agent.policy.never_heard_timeout;
   const auto has_left = never_heard || StateOf(agent, now) == TargetState::kAbsent;
   if (agent.stopping) return has_left ? TargetState::kAbsent : TargetState::kStopping;
   if (has_left && TakesPackets(agent, now)) return TargetState::kDraining;
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -57,7 +57,7 @@
     agent.stall = {.active_at = now, .running_since = kStart};
     return MakeReport(agent, kBalancer, now).state;
   };
-  const auto heard_by = kStart + agent.policy.unheard_for;
+  const auto heard_by = kStart + agent.policy.never_heard_timeout;
   BOOST_TEST((report(heard_by) == TargetState::kStopping));
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kAbsent));
   TakeHeartbeat(agent, Beat(1, 1), heard_by);
@@ -76,7 +76,7 @@
   const auto heard = kStart + milliseconds{700};
   BOOST_TEST((TakeHeartbeat(agent, Beat(1, 4), heard) == HeartbeatOutcome::kStale));
   agent.stopping = true;
-  const auto stops = kStart + agent.policy.unheard_for + milliseconds{1};
+  const auto stops = kStart + agent.policy.never_heard_timeout + milliseconds{1};
   agent.stall.active_at = stops;
   BOOST_TEST((MakeReport(agent, kBalancer, stops).state == TargetState::kStopping));
   agent.stopping = false;
