--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -93,7 +93,7 @@
   this->core.policy.silent_for = SilentFor(*settings.agent);
   this->core.policy.never_heard_timeout = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
   this->core.policy.heartbeat_every = settings.agent->heartbeat_period;
-  this->core.policy.proof_apart = settings.agent->heartbeat_period / 2;
+  this->core.policy.confirmation_interval = settings.agent->heartbeat_period / 2;
   this->core.service = base::ServiceIdOf(settings.agent->service);
   this->core.start = StartSeed(settings);
 }
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -39,7 +39,7 @@
   base::Duration never_heard_timeout = base::milliseconds{1125};
   /// Between two heartbeats of an incarnation that is believed only when it goes on: half a period
   /// of 750 ms. Heartbeats that were held up come within some milliseconds of each other.
-  base::Duration proof_apart = base::milliseconds{375};
+  base::Duration confirmation_interval = base::milliseconds{375};
   /// A leave that comes this soon after a start may be an earlier start's: calls of a target that
   /// has ended may be that late, after retransmissions and a pause of this process.
   base::Duration late_for = base::seconds{5};
@@ -257,8 +257,8 @@
 /// its sequence starts anew. Of two incarnations the one that started later is the target,
 /// whichever is heard first. Where their starts cannot tell (one tells none, the clock was set
 /// back, a sequence ran ahead, an id has left), the one that is known stays, and the other is
-/// believed once it goes on: a second heartbeat AgentPolicy::proof_apart after its first, with
-/// nothing of the known one in between.
+/// believed once it goes on: a second heartbeat AgentPolicy::confirmation_interval after its first,
+/// with nothing of the known one in between.
 ///
 /// Safeguard: heartbeats that were held up come together, after their sender has crashed; only a
 /// target that lives says another one later.
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -103,8 +103,8 @@
     -> HeartbeatOutcome {
   auto& target = agent.target;
   const auto claim = ClaimOf(target, heartbeat);
-  const auto stale =
-      claim == Claim::kDoubtful && !GoesOn(target, heartbeat, agent.policy.proof_apart, now);
+  const auto stale = claim == Claim::kDoubtful &&
+                     !GoesOn(target, heartbeat, agent.policy.confirmation_interval, now);
   const auto other = heartbeat.service != agent.service;
   if (stale || other) {
     ++agent.counters.late_heartbeats;
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -228,7 +228,7 @@
   const auto refused = kStart + milliseconds{100};
   TakeRefusal(agent, refused, refused);
   TakeHeartbeat(agent, Beat(1, 2), refused + milliseconds{10});
-  const auto later = refused + milliseconds{10} + agent.policy.proof_apart;
+  const auto later = refused + milliseconds{10} + agent.policy.confirmation_interval;
   BOOST_TEST((TakeHeartbeat(agent, Beat(1, 3), later) == HeartbeatOutcome::kChanged));
   BOOST_TEST(!TakeRefusal(agent, later + milliseconds{1}, later + milliseconds{1}));
   const auto query = FlowQuery{kDesk, 1, {{kClient, kRoute}}};
