--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -138,7 +138,7 @@
   const auto now = base::Now();
   const auto newer = revision > this->configuration.Revision();
   if (!newer || now - this->asked_at < kAskAgain) return;
-  if (!packets::KeepsConfiguration(this->core)) return;
+  if (!packets::HoldsConfigurationCopy(this->core)) return;
   this->asked_at = now;
   this->configuration.AskFor(balancer);
 }
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -287,7 +287,7 @@
 inline constexpr auto kKeepers = std::size_t{6};
 
 /// Whether this agent is one of them, by its peers; the same ones on all agents that know the same.
-auto KeepsConfiguration(const Agent& agent) -> bool;
+auto HoldsConfigurationCopy(const Agent& agent) -> bool;
 
 /// Balancers that have been silent for longer than their hellos take, at most `most` of them, those
 /// first that were heard last: they may have been started again and know nobody.
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -150,7 +150,7 @@
   return std::binary_search(agent.peers.begin(), agent.peers.end(), own);
 }
 
-auto KeepsConfiguration(const Agent& agent) -> bool {
+auto HoldsConfigurationCopy(const Agent& agent) -> bool {
   auto places = agent.peers;
   for (auto& place : places) place.domain = 0;  // spread over all of them
   const auto order = RendezvousOrder({}, places);
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -330,7 +330,7 @@
       auto agent = MakeAgent();
       agent.own = own;
       Greet(agent, kBalancer, HelloOf(all), kStart);
-      keepers += KeepsConfiguration(agent) ? 1 : 0;
+      keepers += HoldsConfigurationCopy(agent) ? 1 : 0;
     }
     BOOST_TEST(keepers == std::min<std::size_t>(count, kKeepers));
   }
