--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -284,7 +284,7 @@
 
 /// Agents of a service that keep a copy of the configuration: enough that some are there after a
 /// failure domain or two have gone.
-inline constexpr auto kKeepers = std::size_t{6};
+inline constexpr auto kConfigurationCopies = std::size_t{6};
 
 /// Whether this agent is one of them, by its peers; the same ones on all agents that know the same.
 auto HoldsConfigurationCopy(const Agent& agent) -> bool;
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -154,7 +154,7 @@
   auto places = agent.peers;
   for (auto& place : places) place.domain = 0;  // spread over all of them
   const auto order = RendezvousOrder({}, places);
-  const auto keepers = std::span{order}.first(std::min(order.size(), kKeepers));
+  const auto keepers = std::span{order}.first(std::min(order.size(), kConfigurationCopies));
   return Names(keepers, agent.own);
 }
 
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -332,7 +332,7 @@
       Greet(agent, kBalancer, HelloOf(all), kStart);
       keepers += HoldsConfigurationCopy(agent) ? 1 : 0;
     }
-    BOOST_TEST(keepers == std::min<std::size_t>(count, kKeepers));
+    BOOST_TEST(keepers == std::min<std::size_t>(count, kConfigurationCopies));
   }
 }
 
