--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -113,7 +113,7 @@
       this->io, packets::kStallCheck, [this](base::TimePoint now) { this->Check(now); });
   this->sweep_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kSweepPeriod, [this](base::TimePoint now) {
-        packets::ForgetQuiet(this->core, now);
+        packets::DropIdleState(this->core, now);
         if (!this->IsKnown()) this->AnnounceToSeeds();
         this->RemoveRecordOfSilent(now);
         this->LogTraffic();
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -351,6 +351,6 @@
 auto DoubtFlows(Agent& agent, base::TimePoint started) -> void;
 
 /// Drops the state of flows that have been quiet, and balancers that are gone.
-auto ForgetQuiet(Agent& agent, base::TimePoint now) -> void;
+auto DropIdleState(Agent& agent, base::TimePoint now) -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -250,7 +250,7 @@
   ClearLoad(agent);
 }
 
-auto ForgetQuiet(Agent& agent, base::TimePoint now) -> void {
+auto DropIdleState(Agent& agent, base::TimePoint now) -> void {
   auto quiet = std::vector<FlowId>{};
   agent.quiet_work = 0;
   for (auto& [flow, state] : agent.flows) {
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -132,7 +132,7 @@
     if (!client_first) FromPeer(agent, last, kStart);
     BOOST_TEST(MakeReport(agent, kBalancer, kStart).in_flight == 0U);
     BOOST_TEST(MakeReport(agent, kBalancer, kStart).held == 0U);
-    ForgetQuiet(agent, kStart + agent.policy.ended_idle + milliseconds{1});
+    DropIdleState(agent, kStart + agent.policy.ended_idle + milliseconds{1});
     BOOST_TEST(agent.flows.empty());
     BOOST_TEST(agent.ended == 0U);
   }
@@ -140,7 +140,7 @@
   FromPeer(agent, Opening(), kStart);
   FromTarget(agent, finish, kStart);
   BOOST_TEST(agent.flows.size() == 1U);
-  ForgetQuiet(agent, kStart + agent.policy.ended_idle + milliseconds{1});
+  DropIdleState(agent, kStart + agent.policy.ended_idle + milliseconds{1});
   BOOST_TEST(agent.flows.empty());
   BOOST_TEST(agent.ended == 0U);
 }
@@ -152,7 +152,7 @@
   FromPeer(agent, Data(), kStart);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).in_flight == 1U);
   const auto later = kStart + agent.policy.reaction_for + milliseconds{1};
-  ForgetQuiet(agent, later);
+  DropIdleState(agent, later);
   BOOST_TEST(MakeReport(agent, kBalancer, later).in_flight == 0U);
 }
 
@@ -186,7 +186,7 @@
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(20, 0), kStart)));
   const auto later = kStart + agent.policy.overtaken_for + milliseconds{100};
   TakeHeartbeat(agent, Beat(1, 2), later);
-  ForgetQuiet(agent, later);
+  DropIdleState(agent, later);
   const auto trial = OpeningOf(21, 0);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, trial, later)));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(22, 0), later)));
@@ -196,7 +196,7 @@
   auto answer = Reply(600);
   answer.destination = trial.source;
   FromTarget(agent, answer, later + milliseconds{30});
-  ForgetQuiet(agent, later + milliseconds{100});
+  DropIdleState(agent, later + milliseconds{100});
   BOOST_TEST(MakeReport(agent, kBalancer, later + milliseconds{100}).in_flight == 0U);
 }
 
@@ -225,7 +225,7 @@
   auto now = kStart;
   for (auto port = std::uint16_t{1}; port <= 1000; ++port, now += milliseconds{10}) {
     if (port % 50 == 1) TakeHeartbeat(agent, Beat(1, 1 + port), now);
-    if (port % 100 == 1) ForgetQuiet(agent, now);
+    if (port % 100 == 1) DropIdleState(agent, now);
     if (OpenAndAsk(agent, port, now)) ++given;
   }
   BOOST_TEST(given >= 8);
@@ -242,7 +242,7 @@
   BOOST_TEST(std::holds_alternative<ReturnToBalancer>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Opening(), kStart)));
   BOOST_TEST(agent.ended == 0U);
-  ForgetQuiet(agent, kStart + agent.policy.flow_idle + milliseconds{1});
+  DropIdleState(agent, kStart + agent.policy.flow_idle + milliseconds{1});
   BOOST_TEST(agent.flows.empty());
 }
 
