--- a/src/packets/drain.h
+++ b/src/packets/drain.h
@@ -20,7 +20,7 @@
 
 /// Domains in one message; what is beyond them is not told on, and balancers go by what they have
 /// read themselves.
-inline constexpr auto kMostDrained = std::size_t{64};
+inline constexpr auto kMaxDrained = std::size_t{64};
 
 /// Domains by their names, in the order that DrainedDomains keeps.
 auto DrainedOf(std::uint64_t revision, std::vector<DomainTag> domains) -> DrainedDomains;
--- a/src/packets/internal/control.cc
+++ b/src/packets/internal/control.cc
@@ -13,7 +13,7 @@
 
 auto PutDrained(const DrainedDomains& drained, pb::Drained& body) -> void {
   body.set_revision(drained.revision);
-  const auto count = std::min(drained.domains.size(), kMostDrained);
+  const auto count = std::min(drained.domains.size(), kMaxDrained);
   for (const auto domain : std::span{drained.domains}.first(count)) body.add_domains(domain);
 }
 
@@ -152,7 +152,7 @@
 auto DrainedFrom(const pb::Drained& message) -> std::optional<DrainedDomains> {
   auto domains = std::vector<DomainTag>(message.domains().begin(), message.domains().end());
   const auto fits = std::all_of(domains.begin(), domains.end(), IsDomain);
-  if (!fits || domains.size() > kMostDrained) return std::nullopt;
+  if (!fits || domains.size() > kMaxDrained) return std::nullopt;
   return DrainedOf(message.revision(), std::move(domains));
 }
 
--- a/src/packets/tests/control_test.cc
+++ b/src/packets/tests/control_test.cc
@@ -28,7 +28,7 @@
   BOOST_TEST(std::get<Hello>(*read).parts == 3U);
 }
 
-// What an operator wants travels in hellos and reports. Domains beyond kMostDrained are left out:
+// What an operator wants travels in hellos and reports. Domains beyond kMaxDrained are left out:
 // the rest still fits into a frame, and balancers go by what they have read.
 BOOST_AUTO_TEST_CASE(drained_domains_and_confirmations_come_back) {
   constexpr auto frame = std::size_t{1400};
@@ -36,14 +36,14 @@
   hello.confirmed_ago = base::milliseconds{0};
   hello.cold_per_second = 80;
   hello.drained.revision = 12;
-  for (auto tag = DomainTag{1}; tag <= kMostDrained + 1; ++tag) {
+  for (auto tag = DomainTag{1}; tag <= kMaxDrained + 1; ++tag) {
     hello.drained.domains.push_back((DomainTag{1} << kDomainTagBits) - 200 + tag);
   }
   BOOST_TEST(EncodeControl(hello).size() <= frame);
   const auto read = RoundTrip(hello);
   BOOST_REQUIRE(read);
   const auto& back = std::get<Hello>(*read);
-  BOOST_TEST(back.drained.domains.size() == kMostDrained);
+  BOOST_TEST(back.drained.domains.size() == kMaxDrained);
   BOOST_TEST(back.drained.revision == 12U);
   BOOST_TEST(back.cold_per_second == 80U);
   BOOST_TEST((back.confirmed_ago == base::Duration{}));
--- a/src/packets/tests/frame.h
+++ b/src/packets/tests/frame.h
@@ -13,7 +13,7 @@
 /// As many failure domains as may be drained, with the longest tags.
 inline auto MostDrained() -> std::vector<DomainTag> {
   auto drained = std::vector<DomainTag>{};
-  for (auto tag = DomainTag{1}; tag <= kMostDrained; ++tag) {
+  for (auto tag = DomainTag{1}; tag <= kMaxDrained; ++tag) {
     drained.push_back((DomainTag{1} << kDomainTagBits) - tag);
   }
   return drained;
