--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -30,7 +30,7 @@
   std::uint8_t opening_hops = 6;
   /// An opening whose client has not gone on for this long counts as no load any more. A client
   /// goes on within its way there and back, some 10 ms, or with another target's answer.
-  base::Duration opening_for = base::milliseconds{150};
+  base::Duration offer_timeout = base::milliseconds{150};
   /// A target that has not been heard of for this long is given no opening: two heartbeats of 750
   /// ms and a half. An address may serve another service two seconds after its target's end.
   base::Duration silent_for = base::milliseconds{1875};
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -116,7 +116,7 @@
 auto ExpireOffers(Agent& agent, base::TimePoint now) -> void {
   while (!agent.offered.empty()) {
     const auto& oldest = agent.offered.front();
-    if (now - oldest.at < agent.policy.opening_for) return;
+    if (now - oldest.at < agent.policy.offer_timeout) return;
     const auto entry = agent.flows.find(oldest.flow);
     const auto waits = entry != agent.flows.end() && (entry->second.stage == FlowStage::kOffered ||
                                                       entry->second.stage == FlowStage::kAnswered);
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -49,7 +49,7 @@
     FromPeer(agent, OpeningOf(port, 0), kStart);
   }
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(9, 0), kStart)));
-  const auto later = kStart + agent.policy.opening_for;
+  const auto later = kStart + agent.policy.offer_timeout;
   BOOST_TEST(MakeReport(agent, kBalancer, later).in_flight == 0U);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, OpeningOf(9, 0), later)));
 }
