--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -42,7 +42,7 @@
   base::Duration confirmation_interval = base::milliseconds{375};
   /// A leave that comes this soon after a start may be an earlier start's: calls of a target that
   /// has ended may be that late, after retransmissions and a pause of this process.
-  base::Duration late_for = base::seconds{5};
+  base::Duration late_leave_window = base::seconds{5};
   /// What a balancer said counts for this long: four hellos, or kReportsMissed of its periods where
   /// these are longer.
   base::Duration hello_for = base::seconds{1};
@@ -268,9 +268,9 @@
 /// The target with this id says that it leaves for good. True where it is the current one.
 ///
 /// Safeguard: a leave does not tell which start said it. One of an earlier start that comes late
-/// would have flows of the live target reset. Within AgentPolicy::late_for of a start under a
-/// former id, or of the agent's own (which knows of no former one), the target is given no opening
-/// any more, and has left once it falls silent.
+/// would have flows of the live target reset. Within AgentPolicy::late_leave_window of a start
+/// under a former id, or of the agent's own (which knows of no former one), the target is given no
+/// opening any more, and has left once it falls silent.
 auto TakeLeave(Agent& agent, std::uint64_t id, base::TimePoint now) -> bool;
 
 /// The target's port refused a connection that was begun at `attempted_at`: its process has ended,
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -71,7 +71,7 @@
 
 auto LeaveIsDoubtful(const Agent& agent, base::TimePoint now) -> bool {
   const auto started = std::max(agent.started_at, agent.target.again_at);
-  return started != base::TimePoint{} && now - started < agent.policy.late_for;
+  return started != base::TimePoint{} && now - started < agent.policy.late_leave_window;
 }
 
 }  // namespace
--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -144,7 +144,7 @@
 BOOST_AUTO_TEST_CASE(a_leave_long_after_the_start_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
-  const auto later = kStart + agent.policy.late_for;
+  const auto later = kStart + agent.policy.late_leave_window;
   TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 2, true), later);
   BOOST_TEST(TakeLeave(agent, kId, later));
   BOOST_TEST((StateAt(agent, later + agent.policy.leave_for) == TargetState::kAbsent));
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -217,7 +217,7 @@
 BOOST_AUTO_TEST_CASE(a_target_that_left_holds_nothing) {
   auto agent = MakeAgent();
   FromTarget(agent, Reply(1000), kStart);
-  const auto left = kStart + agent.policy.late_for;
+  const auto left = kStart + agent.policy.late_leave_window;
   TakeLeave(agent, 1, left);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(kClient.port), left).unsure.empty());
   const auto gone = left + agent.policy.leave_for;
