--- a/bench/placement_model.cc
+++ b/bench/placement_model.cc
@@ -112,7 +112,7 @@
     agent.own = kFirstAgent + static_cast<packets::Address>(index);
     agent.service = kService;
     agent.policy.silent_for = base::hours{1};
-    agent.policy.hello_for = base::hours{1};
+    agent.policy.hello_lifetime = base::hours{1};
     if (!this->variant.limited) agent.policy.opening_limit = agent.policy.copy_limit = kNoLimit;
     packets::TakeHeartbeat(
         agent,
--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -45,7 +45,7 @@
   base::Duration late_leave_window = base::seconds{5};
   /// What a balancer said counts for this long: four hellos, or kReportsMissed of its periods where
   /// these are longer.
-  base::Duration hello_for = base::seconds{1};
+  base::Duration hello_lifetime = base::seconds{1};
   /// A list that was asked for is asked for again, of the next balancer that names it, after this
   /// long: more than its way, and a moment of a busy balancer.
   base::Duration list_within = base::milliseconds{100};
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -41,7 +41,7 @@
 }
 
 auto IsFresh(const Agent& agent, const BalancerHello& hello, base::TimePoint now) -> bool {
-  return now - hello.at <= std::max(agent.policy.hello_for, kReportsMissed * hello.every);
+  return now - hello.at <= std::max(agent.policy.hello_lifetime, kReportsMissed * hello.every);
 }
 
 // A list has come: it is that of every balancer that names it.
@@ -180,7 +180,7 @@
 }
 
 auto RefreshPeers(Agent& agent, base::TimePoint now) -> void {
-  const auto lapsed = now - agent.united_at > agent.policy.hello_for / 2;
+  const auto lapsed = now - agent.united_at > agent.policy.hello_lifetime / 2;
   if (agent.peers_stale || lapsed) UnitePeers(agent, now);
 }
 
