--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -48,7 +48,7 @@
   base::Duration hello_lifetime = base::seconds{1};
   /// A list that was asked for is asked for again, of the next balancer that names it, after this
   /// long: more than its way, and a moment of a busy balancer.
-  base::Duration list_within = base::milliseconds{100};
+  base::Duration list_request_timeout = base::milliseconds{100};
   /// A flow is reset only after no agent has become known for this long, in which each balancer has
   /// said hello once: one of them may know an agent that the others do not yet. One that is gone
   /// leaves nothing unknown: while targets were replaced one a second, its leaving kept flows that
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -72,7 +72,7 @@
 auto Want(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now) -> void {
   const auto& wanted = agent.wanted;
   const auto asked =
-      wanted && wanted->digest == digest && now - wanted->at < agent.policy.list_within;
+      wanted && wanted->digest == digest && now - wanted->at < agent.policy.list_request_timeout;
   if (!asked) agent.wanted = WantedList{digest, balancer, now};
 }
 
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -285,10 +285,10 @@
   auto agent = MakeAgent();
   const auto brief = Hello{kDesk, {}, true, false, 4711};
   Greet(agent, kBalancer, brief, kStart);
-  const auto soon = kStart + agent.policy.list_within / 2;
+  const auto soon = kStart + agent.policy.list_request_timeout / 2;
   Greet(agent, kBalancer + 1, brief, soon);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, soon).wanted_list == 0U);
-  const auto later = kStart + agent.policy.list_within;
+  const auto later = kStart + agent.policy.list_request_timeout;
   Greet(agent, kBalancer + 1, brief, later);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, later).wanted_list == brief.digest);
 }
