--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -53,7 +53,7 @@
   /// said hello once: one of them may know an agent that the others do not yet. One that is gone
   /// leaves nothing unknown: while targets were replaced one a second, its leaving kept flows that
   /// a failure domain had lost from being reset for as long again as its successor's coming.
-  base::Duration settle_for = base::milliseconds{350};
+  base::Duration settling_time = base::milliseconds{350};
   /// A target that said that it leaves may still be there for a moment: packets of its flows are
   /// delivered and balancers are not told yet.
   base::Duration leave_for = base::milliseconds{500};
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -141,11 +141,11 @@
 // A balancer that greets less often tells later of an agent that it alone knows: what has changed
 // is told to all within a tenth of its period.
 auto HasSettled(const Agent& agent, base::TimePoint now) -> bool {
-  auto settle_for = agent.policy.settle_for;
+  auto settling_time = agent.policy.settling_time;
   for (const auto& [balancer, hello] : agent.balancers) {
-    settle_for = std::max<base::Duration>(settle_for, hello.every / 4);
+    settling_time = std::max<base::Duration>(settling_time, hello.every / 4);
   }
-  if (agent.peers_stale || now - agent.peers_since < settle_for) return false;
+  if (agent.peers_stale || now - agent.peers_since < settling_time) return false;
   const auto own = Place{agent.own, agent.domain};
   return std::binary_search(agent.peers.begin(), agent.peers.end(), own);
 }
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -21,7 +21,7 @@
 // seen its target from its first heartbeat on, and has heard of the same others for a while.
 BOOST_AUTO_TEST_CASE(an_agent_knows_what_its_target_does_not_hold) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.token == 7U);
   BOOST_TEST(answer.unsure.empty());
@@ -36,14 +36,14 @@
 BOOST_AUTO_TEST_CASE(a_query_that_waited_proves_nothing) {
   auto agent = MakeAgent();
   NoteEvent(agent.stall, kStart);
-  BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + agent.policy.settle_for).settled);
+  BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + agent.policy.settling_time).settled);
 }
 
 // The flow's own agent is started again at that moment, or a balancer has not heard of it yet: the
 // question missed the target that holds the flow, and a reset would break it.
 BOOST_AUTO_TEST_CASE(nothing_is_proved_while_an_agent_may_be_missing) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   BOOST_TEST(!Settles(agent, kStart));
   BOOST_TEST(Settles(agent, settled));
   Greet(agent, kBalancer + 1, HelloOf({kOwn, kOther}, false), settled);
@@ -55,20 +55,20 @@
 BOOST_AUTO_TEST_CASE(an_agent_that_goes_unsettles_nobody_and_one_that_comes_does) {
   auto agent = MakeAgent();
   Greet(agent, kBalancer, HelloOf({kOwn, kOther, kOther + 1}), kStart);
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   Greet(agent, kBalancer, HelloOf({kOwn, kOther}), settled);
   BOOST_TEST(Settles(agent, settled));
   Greet(agent, kBalancer, HelloOf({kOwn, kOther, kOther + 2}), settled);
   BOOST_TEST(!Settles(agent, settled));
   // One of two that changes places with another is one that comes.
-  Greet(agent, kBalancer, HelloOf({kOwn, kOther + 3}), settled + agent.policy.settle_for);
-  BOOST_TEST(!Settles(agent, settled + agent.policy.settle_for));
+  Greet(agent, kBalancer, HelloOf({kOwn, kOther + 3}), settled + agent.policy.settling_time);
+  BOOST_TEST(!Settles(agent, settled + agent.policy.settling_time));
 }
 
 // A hello with another list has come, and the question follows before the agent's next check.
 BOOST_AUTO_TEST_CASE(a_question_between_checks_counts_the_hellos_that_have_come) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   TakeHello(agent, kBalancer, HelloOf({kOwn}), settled);
   BOOST_TEST(agent.peers_stale);
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
@@ -86,7 +86,7 @@
   auto hello = HelloOf({kOwn, kOther});
   hello.every = seconds{2};
   Greet(agent, kBalancer, hello, kStart);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!Settles(agent, kStart + agent.policy.settling_time));
   BOOST_TEST(Settles(agent, kStart + milliseconds{500}));
   BOOST_TEST(Settles(agent, kStart + seconds{8}));  // four of its periods
   BOOST_TEST(!Settles(agent, kStart + seconds{8} + milliseconds{1}));
@@ -95,7 +95,7 @@
 BOOST_AUTO_TEST_CASE(an_agent_that_is_not_among_those_it_is_told_of_proves_nothing) {
   auto agent = MakeAgent();
   Greet(agent, kBalancer, HelloOf({kOther, kOther + 1}, true), kStart);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!Settles(agent, kStart + agent.policy.settling_time));
 }
 
 // One balancer knows an agent that the asking one does not: their digests differ, and the balancer
@@ -103,7 +103,7 @@
 BOOST_AUTO_TEST_CASE(an_agent_that_one_balancer_knows_counts_for_all) {
   auto agent = MakeAgent();
   Greet(agent, kBalancer + 1, HelloOf({kOther + 5}, true), kStart);
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.peers_digest == HelloOf({kOwn, kOther, kOther + 5}).digest);
 }
@@ -231,14 +231,14 @@
 // next check, and it proves nothing in between.
 BOOST_AUTO_TEST_CASE(hellos_count_together_at_the_next_check) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   BOOST_TEST(Settles(agent, settled));
   TakeHello(agent, kBalancer + 1, HelloOf({kOwn, kOther, kOther + 1}), settled);
   BOOST_TEST(agent.peers.size() == 2U);
   BOOST_TEST(!Settles(agent, settled));
   RefreshPeers(agent, settled);
   BOOST_TEST(agent.peers.size() == 3U);
-  BOOST_TEST(Settles(agent, settled + agent.policy.settle_for));
+  BOOST_TEST(Settles(agent, settled + agent.policy.settling_time));
 }
 
 // The list is sent once; after that its digest says that it is the same. An agent that was started
@@ -272,7 +272,7 @@
     if (wanted == next.digest) asked.push_back(kBalancer + i);
   }
   BOOST_TEST(asked.size() == 1U);
-  BOOST_TEST(!Settles(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!Settles(agent, kStart + agent.policy.settling_time));
   Greet(agent, asked.front(), next, kStart);
   for (const auto& [balancer, known] : agent.balancers) BOOST_TEST(known.digest == next.digest);
   BOOST_TEST(agent.peers.size() == 3U);
--- a/src/packets/tests/drain_test.cc
+++ b/src/packets/tests/drain_test.cc
@@ -185,7 +185,7 @@
   TakeHello(agent, kBalancer, HelloWith(10, {kNorth, kSouth}), kStart);
   RefreshPeers(agent, kStart);
   BOOST_TEST(std::holds_alternative<Discard>(FromPeer(agent, Opening(), kStart)));  // too early
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   for (auto now = kStart; now < settled; now += kStallCheck) NoteEvent(agent.stall, now);
   BOOST_TEST(std::holds_alternative<RefuseOpening>(FromPeer(agent, Opening(), settled)));
 }
--- a/src/packets/tests/lost_flows_test.cc
+++ b/src/packets/tests/lost_flows_test.cc
@@ -101,7 +101,7 @@
     TakeHello(agent, kBalancer + 1, hello, rig.now);
     RefreshPeers(agent, rig.now);
   }
-  rig.now += rig.agents.front().policy.settle_for;
+  rig.now += rig.agents.front().policy.settling_time;
   rig.balancer.stall = {};
   for (auto& agent : rig.agents) agent.stall = {};
   rig.Route(DataOf(9));
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -65,7 +65,7 @@
       TakeReport(this->balancer.view, MakeReport(agent, kBalancer, this->now), this->now);
     }
     this->SayHello();
-    this->now += agents.front().policy.settle_for;
+    this->now += agents.front().policy.settling_time;
     this->balancer.records_at = this->now;
     for (auto& agent : this->agents) {
       agent.stall = {};
