--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -56,7 +56,7 @@
   base::Duration settling_time = base::milliseconds{350};
   /// A target that said that it leaves may still be there for a moment: packets of its flows are
   /// delivered and balancers are not told yet.
-  base::Duration leave_for = base::milliseconds{500};
+  base::Duration leave_grace = base::milliseconds{500};
   /// Flows that are remembered, 150 bytes each. Packets of further ones are carried as of unknown
   /// flows: a flood of made-up flows must not end the process at its limit of memory.
   std::size_t most_flows = 50'000;
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -80,7 +80,7 @@
 // flows: withheld until its first heartbeat, their packets would find nobody.
 auto TakesPackets(const Agent& agent, base::TimePoint now) -> bool {
   if (StateOf(agent, now) != TargetState::kAbsent) return true;
-  return now - agent.target.left_at < agent.policy.leave_for;
+  return now - agent.target.left_at < agent.policy.leave_grace;
 }
 
 auto StateOf(const Agent& agent, base::TimePoint now) -> TargetState {
@@ -159,7 +159,7 @@
   if (target.state == TargetState::kAbsent || target.refusals_mislead) return false;
   target.refused = WasHeard(target);
   if (WasHeard(target)) Retire(target, target.last.incarnation);
-  TakeForGone(agent, now - agent.policy.leave_for);
+  TakeForGone(agent, now - agent.policy.leave_grace);
   return true;
 }
 
--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -116,7 +116,7 @@
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 1), kStart);
   BOOST_TEST(TakeLeave(agent, kId, kStart));
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((StateAt(agent, later) == TargetState::kDraining));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), later)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
@@ -147,7 +147,7 @@
   const auto later = kStart + agent.policy.late_leave_window;
   TakeHeartbeat(agent, BeatOf(kId, kSecondStart, 2, true), later);
   BOOST_TEST(TakeLeave(agent, kId, later));
-  BOOST_TEST((StateAt(agent, later + agent.policy.leave_for) == TargetState::kAbsent));
+  BOOST_TEST((StateAt(agent, later + agent.policy.leave_grace) == TargetState::kAbsent));
 }
 
 // All agents are killed; the first thing that one of them hears after its start is the leave of the
@@ -161,7 +161,7 @@
   NoteEvent(agent.stall, kStart);
   Greet(agent, kBalancer, HelloOf({kOwn, kOther}, true), kStart);
   TakeLeave(agent, kId, kStart);
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((StateAt(agent, later) == TargetState::kUnknown));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
   TakeHeartbeat(agent, BeatOf(kId + 1, kSecondStart, 9), later);
@@ -177,7 +177,7 @@
   beat.service = kMapper;
   TakeHeartbeat(agent, beat, kStart);
   TakeLeave(agent, kId, kStart);
-  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kDraining));
+  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_grace) == TargetState::kDraining));
 }
 
 // The machine's clock was set back between two starts, so that the later one tells the earlier
@@ -202,7 +202,7 @@
     const auto outcome = TakeHeartbeat(agent, BeatOf(kId, kFirstStart, sequence), at);
     BOOST_TEST((outcome == HeartbeatOutcome::kStale));
   }
-  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kAbsent));
+  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_grace) == TargetState::kAbsent));
 }
 
 // Two writers use one id. The one that started last is believed; the other's heartbeats come
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -220,7 +220,7 @@
   const auto left = kStart + agent.policy.late_leave_window;
   TakeLeave(agent, 1, left);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(kClient.port), left).unsure.empty());
-  const auto gone = left + agent.policy.leave_for;
+  const auto gone = left + agent.policy.leave_grace;
   const auto answer = AnswerQuery(agent, QueryOf(kClient.port), gone);
   BOOST_TEST(answer.unsure.empty());
   BOOST_TEST(answer.held.empty());
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -119,7 +119,7 @@
   TakeLeave(agent, 1, kStart);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kDraining));
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), later)).by_target);
 }
 
@@ -145,7 +145,7 @@
   auto agent = MakeAgent();
   BOOST_TEST(TakeLeave(agent, 1, kStart));
   BOOST_TEST((TakeHeartbeat(agent, Beat(1, 9), kStart) == HeartbeatOutcome::kStale));
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((MakeReport(agent, kBalancer, later).state == TargetState::kAbsent));
 }
 
