--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -59,7 +59,7 @@
   base::Duration leave_grace = base::milliseconds{500};
   /// Flows that are remembered, 150 bytes each. Packets of further ones are carried as of unknown
   /// flows: a flood of made-up flows must not end the process at its limit of memory.
-  std::size_t most_flows = 50'000;
+  std::size_t max_flows = 50'000;
   /// The state of a flow that has not opened here is dropped after this long without a packet.
   base::Duration flow_idle = base::seconds{20};
   /// The same for one that has: the age up to which the users keep a flow. An agent that has run
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -153,7 +153,7 @@
   if (entry == agent.flows.end()) {
     const auto empty = !IsOpening(packet) && packet.payload == 0;
     if (empty) return;
-    if (agent.flows.size() >= agent.policy.most_flows) {
+    if (agent.flows.size() >= agent.policy.max_flows) {
       agent.overflowed = true;
       return;
     }
@@ -179,7 +179,7 @@
     -> std::optional<base::Duration> {
   auto entry = agent.flows.find(FlowFromTarget(packet));
   if (entry == agent.flows.end()) {
-    if (packet.payload == 0 || agent.flows.size() >= agent.policy.most_flows) return std::nullopt;
+    if (packet.payload == 0 || agent.flows.size() >= agent.policy.max_flows) return std::nullopt;
     entry = agent.flows.emplace(FlowFromTarget(packet), FlowState{.stage = FlowStage::kOpen}).first;
   }
   auto& flow = entry->second;
@@ -206,7 +206,7 @@
 
 auto MarkNotHere(Agent& agent, const FlowId& id, base::TimePoint now) -> void {
   Erase(agent, id);
-  if (agent.flows.size() >= agent.policy.most_flows) return;
+  if (agent.flows.size() >= agent.policy.max_flows) return;
   auto& flow = agent.flows[id];
   flow.stage = FlowStage::kNotHere;
   flow.seen = now;
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_CASE(a_flood_of_flows_fills_no_more_than_the_agents_table) {
   auto agent = MakeAgent();
-  agent.policy.most_flows = 3;
+  agent.policy.max_flows = 3;
   for (auto port = std::uint16_t{1}; port <= 50; ++port) {
     FromPeer(agent, OpeningOf(port, 0), kStart);
   }
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -171,7 +171,7 @@
 // A flood of made-up flows filled the agent's table; what came after it is not remembered.
 BOOST_AUTO_TEST_CASE(an_agent_whose_table_was_full_does_not_know_its_targets_flows) {
   auto agent = MakeAgent();
-  agent.policy.most_flows = 1;
+  agent.policy.max_flows = 1;
   FromPeer(agent, OpeningOf(1, 0), kStart);
   BOOST_TEST(AnswerQuery(agent, QueryOf(2), kStart).unsure.empty());
   FromPeer(agent, OpeningOf(2, 0), kStart);
