--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -72,7 +72,7 @@
   base::Duration heartbeat_every = base::milliseconds{750};
   /// A packet that the target has not reacted to for this long is no work: the target holds its
   /// flow half open, or what it gave back was lost.
-  base::Duration reaction_for = base::seconds{1};
+  base::Duration reaction_timeout = base::seconds{1};
   /// A request that has had no packet for this long is no work any more where the target has
   /// answered another one that came as much later: its client has left before all of it came.
   base::Duration overtaken_for = base::seconds{1};
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -75,7 +75,7 @@
   const auto& policy = agent.policy;
   const auto quiet_for = now - flow.seen;
   const auto assumed = flow.stage == FlowStage::kAssumed;
-  if (quiet_for > (assumed ? policy.reaction_for : policy.flow_idle)) return true;
+  if (quiet_for > (assumed ? policy.reaction_timeout : policy.flow_idle)) return true;
   const auto overtaken = agent.answered - flow.seen > policy.overtaken_for;
   return quiet_for > policy.overtaken_for && overtaken;
 }
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -151,7 +151,7 @@
   auto agent = MakeAgent();
   FromPeer(agent, Data(), kStart);
   BOOST_TEST(MakeReport(agent, kBalancer, kStart).in_flight == 1U);
-  const auto later = kStart + agent.policy.reaction_for + milliseconds{1};
+  const auto later = kStart + agent.policy.reaction_timeout + milliseconds{1};
   DropIdleState(agent, later);
   BOOST_TEST(MakeReport(agent, kBalancer, later).in_flight == 0U);
 }
