--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -75,7 +75,7 @@
   base::Duration reaction_timeout = base::seconds{1};
   /// A request that has had no packet for this long is no work any more where the target has
   /// answered another one that came as much later: its client has left before all of it came.
-  base::Duration overtaken_for = base::seconds{1};
+  base::Duration overtaken_timeout = base::seconds{1};
   /// Where requests without a packet for that long take up all places, an opening is let in this
   /// often: its answer shows that the target works, and lets the others go.
   base::Duration trial_every = base::seconds{1};
@@ -200,12 +200,13 @@
   base::TimePoint united_at{};    ///< when `peers` was last worked out from the hellos
   bool peers_stale = false;       ///< hellos have changed since
   std::unordered_map<FlowId, FlowState> flows;
-  bool overflowed = false;          ///< a flow of this target was not remembered for want of room
-  std::uint32_t at_work = 0;        ///< flows whose state says so
-  std::uint32_t quiet_work = 0;     ///< those without a packet for overtaken_for, at the last sweep
-  base::TimePoint answered{};       ///< when the latest request that was answered had come
-  base::TimePoint tried_at{};       ///< the last opening that was let in beside quiet work
-  std::uint32_t ended = 0;          ///< flows in FlowStage::kEnded and kNotHere
+  bool overflowed = false;    ///< a flow of this target was not remembered for want of room
+  std::uint32_t at_work = 0;  ///< flows whose state says so
+  std::uint32_t quiet_work =
+      0;                       ///< those without a packet for overtaken_timeout, at the last sweep
+  base::TimePoint answered{};  ///< when the latest request that was answered had come
+  base::TimePoint tried_at{};  ///< the last opening that was let in beside quiet work
+  std::uint32_t ended = 0;     ///< flows in FlowStage::kEnded and kNotHere
   std::deque<OfferedFlow> offered;  ///< openings that count as load, oldest first
   base::TimePoint started_at{};     ///< of the process
   std::uint64_t start = 0;
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -76,8 +76,8 @@
   const auto quiet_for = now - flow.seen;
   const auto assumed = flow.stage == FlowStage::kAssumed;
   if (quiet_for > (assumed ? policy.reaction_timeout : policy.flow_idle)) return true;
-  const auto overtaken = agent.answered - flow.seen > policy.overtaken_for;
-  return quiet_for > policy.overtaken_for && overtaken;
+  const auto overtaken = agent.answered - flow.seen > policy.overtaken_timeout;
+  return quiet_for > policy.overtaken_timeout && overtaken;
 }
 
 // Whether places are taken up by requests that may be none, and one more is let in to find out.
@@ -255,7 +255,7 @@
   agent.quiet_work = 0;
   for (auto& [flow, state] : agent.flows) {
     if (state.at_work && IsWorkNoLonger(agent, state, now)) SetAtWork(agent, state, false);
-    if (state.at_work && now - state.seen > agent.policy.overtaken_for) ++agent.quiet_work;
+    if (state.at_work && now - state.seen > agent.policy.overtaken_timeout) ++agent.quiet_work;
     if (now - state.seen > IdleOf(agent.policy, state.stage)) quiet.push_back(flow);
   }
   for (const auto& flow : quiet) Erase(agent, flow);
--- a/src/packets/tests/agent_load_test.cc
+++ b/src/packets/tests/agent_load_test.cc
@@ -184,7 +184,7 @@
   auto agent = MakeAgent();
   for (auto port = std::uint16_t{1}; port <= 8; ++port) LeaveHalfway(agent, port, kStart);
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, OpeningOf(20, 0), kStart)));
-  const auto later = kStart + agent.policy.overtaken_for + milliseconds{100};
+  const auto later = kStart + agent.policy.overtaken_timeout + milliseconds{100};
   TakeHeartbeat(agent, Beat(1, 2), later);
   DropIdleState(agent, later);
   const auto trial = OpeningOf(21, 0);
