--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -78,7 +78,7 @@
   base::Duration overtaken_timeout = base::seconds{1};
   /// Where requests without a packet for that long take up all places, an opening is let in this
   /// often: its answer shows that the target works, and lets the others go.
-  base::Duration trial_every = base::seconds{1};
+  base::Duration trial_interval = base::seconds{1};
   /// A balancer that has not said hello for this long is not told of changes any more. Until then
   /// it is told of this agent now and then: it may have been started again, and know nobody.
   base::Duration balancer_for = base::seconds{10};
