--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -81,7 +81,7 @@
   base::Duration trial_interval = base::seconds{1};
   /// A balancer that has not said hello for this long is not told of changes any more. Until then
   /// it is told of this agent now and then: it may have been started again, and know nobody.
-  base::Duration balancer_for = base::seconds{10};
+  base::Duration balancer_timeout = base::seconds{10};
 };
 
 /// Where the target stands with a flow, as far as its packets have told.
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -261,7 +261,7 @@
   for (const auto& flow : quiet) Erase(agent, flow);
   std::erase_if(agent.balancers, [&](const auto& entry) {
     const auto& hello = entry.second;
-    return now - hello.at > std::max(agent.policy.balancer_for, kReportsMissed * hello.every);
+    return now - hello.at > std::max(agent.policy.balancer_timeout, kReportsMissed * hello.every);
   });
 }
 
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -351,7 +351,7 @@
   const auto silent = SilentBalancers(agent, 8, later);
   BOOST_TEST(silent.size() == 8U);
   BOOST_TEST(silent.front() == kBalancer + 18);
-  const auto gone = later + agent.policy.balancer_for + milliseconds{1};
+  const auto gone = later + agent.policy.balancer_timeout + milliseconds{1};
   DropIdleState(agent, gone);
   BOOST_TEST(SilentBalancers(agent, 8, gone).empty());
 }
