--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -136,7 +136,7 @@
 };
 
 /// Former incarnations that an agent remembers: those whose heartbeats may still come late.
-inline constexpr auto kMostRetired = std::size_t{64};
+inline constexpr auto kMaxRetired = std::size_t{64};
 
 /// A heartbeat that was not believed when it came.
 struct DoubtfulHeartbeat {
@@ -151,7 +151,7 @@
   Heartbeat last;
   base::TimePoint heard{};    ///< when the last heartbeat came
   base::TimePoint left_at{};  ///< when it said that it leaves
-  /// Incarnations that have left or were replaced, kMostRetired of them; without a start: any of
+  /// Incarnations that have left or were replaced, kMaxRetired of them; without a start: any of
   /// the id.
   std::deque<Incarnation> retired;
   std::optional<DoubtfulHeartbeat> doubtful;
--- a/src/packets/internal/incarnations.cc
+++ b/src/packets/internal/incarnations.cc
@@ -46,7 +46,7 @@
 auto Retire(LocalTarget& target, const Incarnation& incarnation) -> void {
   if (IsRetired(target, incarnation)) return;
   target.retired.push_back(incarnation);
-  if (target.retired.size() > kMostRetired) target.retired.pop_front();
+  if (target.retired.size() > kMaxRetired) target.retired.pop_front();
 }
 
 auto IsFormerId(const LocalTarget& target, std::uint64_t id) -> bool {
--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -254,7 +254,7 @@
     TakeHeartbeat(agent, BeatOf(start % 7, kFirstStart + start, 1), kStart);
     TakeLeave(agent, 1'000 + start, kStart);
   }
-  BOOST_TEST(agent.target.retired.size() <= kMostRetired);
+  BOOST_TEST(agent.target.retired.size() <= kMaxRetired);
 }
 
 }  // namespace
