--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -80,7 +80,7 @@
 
 // The agents that any balancer holds for alive. Most balancers hold the same ones: each list is
 // taken once.
-auto UnitePeers(Agent& agent, base::TimePoint now) -> void {
+auto MergePeers(Agent& agent, base::TimePoint now) -> void {
   agent.united_at = now;
   agent.peers_stale = false;
   auto all = std::vector<Place>{};
@@ -181,7 +181,7 @@
 
 auto RefreshPeers(Agent& agent, base::TimePoint now) -> void {
   const auto lapsed = now - agent.united_at > agent.policy.hello_lifetime / 2;
-  if (agent.peers_stale || lapsed) UnitePeers(agent, now);
+  if (agent.peers_stale || lapsed) MergePeers(agent, now);
 }
 
 auto TakeHello(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now) -> bool {
--- a/src/packets/internal/agent_peers.h
+++ b/src/packets/internal/agent_peers.h
@@ -8,7 +8,7 @@
 namespace anvildrum::packets {
 
 /// Works out the agents that any balancer holds for alive.
-auto UnitePeers(Agent& agent, base::TimePoint now) -> void;
+auto MergePeers(Agent& agent, base::TimePoint now) -> void;
 
 /// Known agents besides this one to which an opening may be passed on: none of a drained domain.
 auto OpenPeers(const Agent& agent) -> std::vector<Place>;
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -170,7 +170,7 @@
   agent.balancers.clear();
   agent.wanted.reset();
   ForgetFlows(agent);
-  UnitePeers(agent, now);
+  MergePeers(agent, now);
 }
 
 auto IsCold(const Agent& agent, base::TimePoint now) -> bool {
