--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -197,7 +197,7 @@
   std::vector<Place> peers;  ///< agents of the service that any of them holds for alive
   std::uint32_t peers_digest = 0;
   base::TimePoint peers_since{};  ///< when `peers` last grew
-  base::TimePoint united_at{};    ///< when `peers` was last worked out from the hellos
+  base::TimePoint merged_at{};    ///< when `peers` was last worked out from the hellos
   bool peers_stale = false;       ///< hellos have changed since
   std::unordered_map<FlowId, FlowState> flows;
   bool overflowed = false;    ///< a flow of this target was not remembered for want of room
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -81,7 +81,7 @@
 // The agents that any balancer holds for alive. Most balancers hold the same ones: each list is
 // taken once.
 auto MergePeers(Agent& agent, base::TimePoint now) -> void {
-  agent.united_at = now;
+  agent.merged_at = now;
   agent.peers_stale = false;
   auto all = std::vector<Place>{};
   auto taken = std::unordered_set<std::uint32_t>{};
@@ -180,7 +180,7 @@
 }
 
 auto RefreshPeers(Agent& agent, base::TimePoint now) -> void {
-  const auto lapsed = now - agent.united_at > agent.policy.hello_lifetime / 2;
+  const auto lapsed = now - agent.merged_at > agent.policy.hello_lifetime / 2;
   if (agent.peers_stale || lapsed) MergePeers(agent, now);
 }
 
--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -59,7 +59,7 @@
   if (query.service != agent.service) return answer;
   // Between checks, while targets are replaced one after the other, a hello has almost always just
   // come: without looking at it now nothing would be proved for as long as that goes on.
-  if (agent.peers_stale && now - agent.united_at >= kUniteApart) MergePeers(agent, now);
+  if (agent.peers_stale && now - agent.merged_at >= kUniteApart) MergePeers(agent, now);
   answer.settled = !doubtful && HasSettled(agent, now) && KnowsAll(agent, now);
   answer.peers_digest = agent.peers_digest;
   if (!TakesPackets(agent, now)) return answer;
