--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -9,7 +9,7 @@
 
 // Between two times that the other agents are worked out for a question: all lists are sorted for
 // it, and questions come by the hundred after a loss of power.
-constexpr auto kUniteApart = base::milliseconds{15};
+constexpr auto kMergeInterval = base::milliseconds{15};
 
 enum class Holding : std::uint8_t { kNot, kUnsure, kHeld };
 
@@ -59,7 +59,7 @@
   if (query.service != agent.service) return answer;
   // Between checks, while targets are replaced one after the other, a hello has almost always just
   // come: without looking at it now nothing would be proved for as long as that goes on.
-  if (agent.peers_stale && now - agent.merged_at >= kUniteApart) MergePeers(agent, now);
+  if (agent.peers_stale && now - agent.merged_at >= kMergeInterval) MergePeers(agent, now);
   answer.settled = !doubtful && HasSettled(agent, now) && KnowsAll(agent, now);
   answer.peers_digest = agent.peers_digest;
   if (!TakesPackets(agent, now)) return answer;
