--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -104,7 +104,7 @@
   auto& target = agent.target;
   const auto claim = ClaimOf(target, heartbeat);
   const auto stale = claim == Claim::kDoubtful &&
-                     !GoesOn(target, heartbeat, agent.policy.confirmation_interval, now);
+                     !ConfirmHeartbeat(target, heartbeat, agent.policy.confirmation_interval, now);
   const auto other = heartbeat.service != agent.service;
   if (stale || other) {
     ++agent.counters.late_heartbeats;
--- a/src/packets/internal/incarnations.cc
+++ b/src/packets/internal/incarnations.cc
@@ -32,8 +32,8 @@
   return before.id == after.id ? Claim::kDoubtful : Claim::kNext;
 }
 
-auto GoesOn(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
-            base::TimePoint now) -> bool {
+auto ConfirmHeartbeat(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
+                      base::TimePoint now) -> bool {
   auto& first = target.doubtful;
   if (first && first->incarnation == heartbeat.incarnation &&
       heartbeat.sequence > first->sequence) {
--- a/src/packets/internal/incarnations.h
+++ b/src/packets/internal/incarnations.h
@@ -21,8 +21,8 @@
 
 /// Whether a doubtful heartbeat follows an earlier one of its incarnation after `apart`. Remembers
 /// it otherwise.
-auto GoesOn(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
-            base::TimePoint now) -> bool;
+auto ConfirmHeartbeat(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
+                      base::TimePoint now) -> bool;
 
 /// The incarnation has left or was replaced. Without a start: any one of its id.
 auto Retire(LocalTarget& target, const Incarnation& incarnation) -> void;
