--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -102,7 +102,7 @@
 auto TakeHeartbeat(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now)
     -> HeartbeatOutcome {
   auto& target = agent.target;
-  const auto claim = ClaimOf(target, heartbeat);
+  const auto claim = ClassifyHeartbeat(target, heartbeat);
   const auto stale = claim == Claim::kDoubtful &&
                      !ConfirmHeartbeat(target, heartbeat, agent.policy.confirmation_interval, now);
   const auto other = heartbeat.service != agent.service;
--- a/src/packets/internal/incarnations.cc
+++ b/src/packets/internal/incarnations.cc
@@ -18,7 +18,7 @@
 
 auto WasHeard(const LocalTarget& target) -> bool { return target.heard != base::TimePoint{}; }
 
-auto ClaimOf(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim {
+auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim {
   if (IsRetired(target, heartbeat.incarnation)) return Claim::kDoubtful;
   if (!WasHeard(target)) return Claim::kNext;
   const auto& before = target.last.incarnation;
--- a/src/packets/internal/incarnations.h
+++ b/src/packets/internal/incarnations.h
@@ -17,7 +17,7 @@
 /// Whether any heartbeat has been believed since the process runs.
 auto WasHeard(const LocalTarget& target) -> bool;
 
-auto ClaimOf(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim;
+auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim;
 
 /// Whether a doubtful heartbeat follows an earlier one of its incarnation after `apart`. Remembers
 /// it otherwise.
