--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -103,14 +103,14 @@
     -> HeartbeatOutcome {
   auto& target = agent.target;
   const auto claim = ClassifyHeartbeat(target, heartbeat);
-  const auto stale = claim == Claim::kDoubtful &&
+  const auto stale = claim == HeartbeatClass::kDoubtful &&
                      !ConfirmHeartbeat(target, heartbeat, agent.policy.confirmation_interval, now);
   const auto other = heartbeat.service != agent.service;
   if (stale || other) {
     ++agent.counters.late_heartbeats;
     return stale ? HeartbeatOutcome::kStale : HeartbeatOutcome::kOtherService;
   }
-  const auto first = !WasHeard(target) || claim != Claim::kCurrent;
+  const auto first = !WasHeard(target) || claim != HeartbeatClass::kCurrent;
   if (first) {
     target.seen_from_start = SeenFromStart(agent, heartbeat, now);
     target.seen_from_first_heartbeat = heartbeat.sequence <= 1;
@@ -118,7 +118,7 @@
   const auto went_on = target.refused && heartbeat.incarnation == target.last.incarnation;
   if (went_on) target.refusals_mislead = true;
   target.refused = false;
-  if (claim != Claim::kCurrent) StartAnew(agent, heartbeat, now);
+  if (claim != HeartbeatClass::kCurrent) StartAnew(agent, heartbeat, now);
   const auto before = StateOf(agent, now);
   target.state = heartbeat.draining ? TargetState::kDraining : TargetState::kReady;
   target.last = heartbeat;
@@ -126,7 +126,7 @@
   target.doubtful.reset();
   target.leave_doubtful = false;
   target.cold_doubtful = false;
-  const auto changed = claim != Claim::kCurrent || target.state != before;
+  const auto changed = claim != HeartbeatClass::kCurrent || target.state != before;
   return changed ? HeartbeatOutcome::kChanged : HeartbeatOutcome::kUnchanged;
 }
 
--- a/src/packets/internal/incarnations.cc
+++ b/src/packets/internal/incarnations.cc
@@ -18,18 +18,20 @@
 
 auto WasHeard(const LocalTarget& target) -> bool { return target.heard != base::TimePoint{}; }
 
-auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim {
-  if (IsRetired(target, heartbeat.incarnation)) return Claim::kDoubtful;
-  if (!WasHeard(target)) return Claim::kNext;
+auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> HeartbeatClass {
+  if (IsRetired(target, heartbeat.incarnation)) return HeartbeatClass::kDoubtful;
+  if (!WasHeard(target)) return HeartbeatClass::kNext;
   const auto& before = target.last.incarnation;
   const auto& after = heartbeat.incarnation;
   if (before == after) {
-    return heartbeat.sequence > target.last.sequence ? Claim::kCurrent : Claim::kDoubtful;
+    return heartbeat.sequence > target.last.sequence ? HeartbeatClass::kCurrent
+                                                     : HeartbeatClass::kDoubtful;
   }
   if (before.started_ms && after.started_ms) {
-    return *after.started_ms > *before.started_ms ? Claim::kNext : Claim::kDoubtful;
+    return *after.started_ms > *before.started_ms ? HeartbeatClass::kNext
+                                                  : HeartbeatClass::kDoubtful;
   }
-  return before.id == after.id ? Claim::kDoubtful : Claim::kNext;
+  return before.id == after.id ? HeartbeatClass::kDoubtful : HeartbeatClass::kNext;
 }
 
 auto ConfirmHeartbeat(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
--- a/src/packets/internal/incarnations.h
+++ b/src/packets/internal/incarnations.h
@@ -8,7 +8,7 @@
 namespace anvildrum::packets {
 
 /// What a heartbeat is to the incarnation that is known.
-enum class Claim : std::uint8_t {
+enum class HeartbeatClass : std::uint8_t {
   kCurrent,   ///< its next one
   kNext,      ///< the first of an incarnation that started later
   kDoubtful,  ///< may have been said earlier, or by a target that is gone
@@ -17,7 +17,7 @@
 /// Whether any heartbeat has been believed since the process runs.
 auto WasHeard(const LocalTarget& target) -> bool;
 
-auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim;
+auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> HeartbeatClass;
 
 /// Whether a doubtful heartbeat follows an earlier one of its incarnation after `apart`. Remembers
 /// it otherwise.
