--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -92,7 +92,7 @@
   kOpen,       ///< the target takes its packets
   kElsewhere,  ///< the client went on with another target
   kEnded,      ///< the target has sent its last data
-  kNotHere,    ///< the target gave a packet of it back
+  kNotHeld,    ///< the target gave a packet of it back
 };
 
 /// A flow that was offered to the target, and the load that it puts on it.
@@ -206,7 +206,7 @@
       0;                       ///< those without a packet for overtaken_timeout, at the last sweep
   base::TimePoint answered{};  ///< when the latest request that was answered had come
   base::TimePoint tried_at{};  ///< the last opening that was let in beside quiet work
-  std::uint32_t ended = 0;     ///< flows in FlowStage::kEnded and kNotHere
+  std::uint32_t ended = 0;     ///< flows in FlowStage::kEnded and kNotHeld
   std::deque<OfferedFlow> offered;  ///< openings that count as load, oldest first
   base::TimePoint started_at{};     ///< of the process
   std::uint64_t start = 0;
--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -44,7 +44,7 @@
 // Whether the target has given the flow back a moment ago.
 auto IsNotHere(const Agent& agent, const Packet& packet) -> bool {
   const auto entry = agent.flows.find(FlowFromClient(packet));
-  return entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHere;
+  return entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld;
 }
 
 auto Return(Agent& agent, bool by_target) -> AgentVerdict {
--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -39,7 +39,7 @@
     case FlowStage::kEnded:
       return Holding::kHeld;
     case FlowStage::kElsewhere:
-    case FlowStage::kNotHere:
+    case FlowStage::kNotHeld:
       return Holding::kNot;
     default:
       return Holding::kUnsure;
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -8,7 +8,7 @@
 
 // Whether the flow is no load, and remembered for its client's last packets alone.
 auto IsOver(const FlowState& flow) -> bool {
-  return flow.stage == FlowStage::kEnded || flow.stage == FlowStage::kNotHere;
+  return flow.stage == FlowStage::kEnded || flow.stage == FlowStage::kNotHeld;
 }
 
 // The target has sent its last data. What the client repeats until it has closed the flow too is
@@ -57,7 +57,7 @@
     case FlowStage::kOpen:
       return policy.flow_age;
     case FlowStage::kEnded:
-    case FlowStage::kNotHere:
+    case FlowStage::kNotHeld:
       return policy.ended_idle;
     default:
       return policy.flow_idle;
@@ -146,7 +146,7 @@
   if (cold_limit != 0) CountCold(agent.target.cold_allowance, cold_limit, now);
   if (packet.reset) return Erase(agent, flow);
   auto entry = agent.flows.find(flow);
-  if (entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHere) {
+  if (entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld) {
     Erase(agent, flow);
     entry = agent.flows.end();
   }
@@ -208,7 +208,7 @@
   Erase(agent, id);
   if (agent.flows.size() >= agent.policy.max_flows) return;
   auto& flow = agent.flows[id];
-  flow.stage = FlowStage::kNotHere;
+  flow.stage = FlowStage::kNotHeld;
   flow.seen = now;
   ++agent.ended;
 }
