--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -60,7 +60,7 @@
   const auto ended = entry != agent.flows.end() && entry->second.stage == FlowStage::kEnded;
   const auto bare = packet.payload == 0 && !packet.finish;
   if (ended && bare) return Discard{DiscardReason::kEnded};
-  MarkNotHere(agent, flow, now);
+  MarkNotHeld(agent, flow, now);
   return Return(agent, true);
 }
 
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -204,7 +204,7 @@
   return answered;
 }
 
-auto MarkNotHere(Agent& agent, const FlowId& id, base::TimePoint now) -> void {
+auto MarkNotHeld(Agent& agent, const FlowId& id, base::TimePoint now) -> void {
   Erase(agent, id);
   if (agent.flows.size() >= agent.policy.max_flows) return;
   auto& flow = agent.flows[id];
--- a/src/packets/internal/flow_load.h
+++ b/src/packets/internal/flow_load.h
@@ -24,7 +24,7 @@
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void;
 
 /// The target gave a packet of the flow back: it does not hold it.
-auto MarkNotHere(Agent& agent, const FlowId& id, base::TimePoint now) -> void;
+auto MarkNotHeld(Agent& agent, const FlowId& id, base::TimePoint now) -> void;
 
 /// Drops the flow's state.
 auto Erase(Agent& agent, const FlowId& flow) -> void;
