--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -42,7 +42,7 @@
 }
 
 // Whether the target has given the flow back a moment ago.
-auto IsNotHere(const Agent& agent, const Packet& packet) -> bool {
+auto IsNotHeld(const Agent& agent, const Packet& packet) -> bool {
   const auto entry = agent.flows.find(FlowFromClient(packet));
   return entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld;
 }
@@ -132,7 +132,7 @@
     return PassOn(agent, packet, now);
   }
   if (!TakesPackets(agent, now)) return Return(agent, true);
-  if (!IsOpening(packet) && IsNotHere(agent, packet)) return Return(agent, true);
+  if (!IsOpening(packet) && IsNotHeld(agent, packet)) return Return(agent, true);
   if (OpenedElsewhere(agent, packet)) return Return(agent, false);
   CountFromClient(agent, packet, now);
   ++agent.counters.delivered;
