--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -86,13 +86,13 @@
 
 /// Where the target stands with a flow, as far as its packets have told.
 enum class FlowStage : std::uint8_t {
-  kOffered,    ///< the opening was delivered
-  kAssumed,    ///< packets were delivered, the target has not reacted to any yet
-  kAnswered,   ///< the target answered the opening; the client has not gone on yet
-  kOpen,       ///< the target takes its packets
-  kElsewhere,  ///< the client went on with another target
-  kEnded,      ///< the target has sent its last data
-  kNotHeld,    ///< the target gave a packet of it back
+  kOffered,        ///< the opening was delivered
+  kAssumed,        ///< packets were delivered, the target has not reacted to any yet
+  kAnswered,       ///< the target answered the opening; the client has not gone on yet
+  kOpen,           ///< the target takes its packets
+  kOpenElsewhere,  ///< the client went on with another target
+  kEnded,          ///< the target has sent its last data
+  kNotHeld,        ///< the target gave a packet of it back
 };
 
 /// A flow that was offered to the target, and the load that it puts on it.
--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -94,10 +94,10 @@
   auto& flow = entry->second;
   if (flow.stage == FlowStage::kAnswered) {
     const auto ours = packet.acknowledged - flow.target_sequence <= 1;
-    flow.stage = ours ? FlowStage::kOpen : FlowStage::kElsewhere;
+    flow.stage = ours ? FlowStage::kOpen : FlowStage::kOpenElsewhere;
   }
   if (flow.stage == FlowStage::kAssumed) return TurnsToOthers(flow);
-  if (flow.stage != FlowStage::kElsewhere) return false;
+  if (flow.stage != FlowStage::kOpenElsewhere) return false;
   SetAtWork(agent, flow, false);
   ++agent.counters.elsewhere;
   return true;
--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -38,7 +38,7 @@
     case FlowStage::kOpen:
     case FlowStage::kEnded:
       return Holding::kHeld;
-    case FlowStage::kElsewhere:
+    case FlowStage::kOpenElsewhere:
     case FlowStage::kNotHeld:
       return Holding::kNot;
     default:
