--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -349,7 +349,7 @@
 /// Safeguard: a target crashes and starts again, and takes openings for up to a period of
 /// heartbeats before its first one is heard. Forgotten, these flows were said to be nowhere, and
 /// reset. When the earlier start was heard of last tells nothing, since its heartbeats come late.
-auto DoubtFlows(Agent& agent, base::TimePoint started) -> void;
+auto MarkFlowsUncertain(Agent& agent, base::TimePoint started) -> void;
 
 /// Drops the state of flows that have been quiet, and balancers that are gone.
 auto DropIdleState(Agent& agent, base::TimePoint now) -> void;
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -50,7 +50,7 @@
   if (WasHeard(target)) Retire(target, before);
   if (IsFormerId(target, next.id)) target.again_at = now;
   Reinstate(target, next);
-  if (WasHeard(target)) DoubtFlows(agent, StartedAtEarliest(agent, heartbeat, now));
+  if (WasHeard(target)) MarkFlowsUncertain(agent, StartedAtEarliest(agent, heartbeat, now));
 }
 
 // Whether the target has started since this process did: by its first heartbeat, or by their
@@ -66,7 +66,7 @@
   target.left_at = left_at;
   target.seen_from_start = false;
   target.seen_from_first_heartbeat = false;
-  DoubtFlows(agent, {});
+  MarkFlowsUncertain(agent, {});
 }
 
 auto LeaveIsDoubtful(const Agent& agent, base::TimePoint now) -> bool {
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -233,7 +233,7 @@
   return summary;
 }
 
-auto DoubtFlows(Agent& agent, base::TimePoint started) -> void {
+auto MarkFlowsUncertain(Agent& agent, base::TimePoint started) -> void {
   std::erase_if(agent.flows, [&](const auto& entry) { return entry.second.seen < started; });
   for (auto& [flow, state] : agent.flows) {
     auto doubtful = FlowState{};
