--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -71,7 +71,7 @@
 // Safeguard: a client gives up before all of its request has come. The target acknowledges the part
 // and waits, with its slots free. Counted as work for as long as the flow may be idle, such
 // requests closed an idle target.
-auto IsWorkNoLonger(const Agent& agent, const FlowState& flow, base::TimePoint now) -> bool {
+auto IsWorkAbandoned(const Agent& agent, const FlowState& flow, base::TimePoint now) -> bool {
   const auto& policy = agent.policy;
   const auto quiet_for = now - flow.seen;
   const auto assumed = flow.stage == FlowStage::kAssumed;
@@ -254,7 +254,7 @@
   auto quiet = std::vector<FlowId>{};
   agent.quiet_work = 0;
   for (auto& [flow, state] : agent.flows) {
-    if (state.at_work && IsWorkNoLonger(agent, state, now)) SetAtWork(agent, state, false);
+    if (state.at_work && IsWorkAbandoned(agent, state, now)) SetAtWork(agent, state, false);
     if (state.at_work && now - state.seen > agent.policy.overtaken_timeout) ++agent.quiet_work;
     if (now - state.seen > IdleOf(agent.policy, state.stage)) quiet.push_back(flow);
   }
