--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -60,7 +60,7 @@
 }
 
 // The target is gone. Its flows are kept in doubt: what told so may be about an earlier start.
-auto TakeForGone(Agent& agent, base::TimePoint left_at) -> void {
+auto MarkTargetGone(Agent& agent, base::TimePoint left_at) -> void {
   auto& target = agent.target;
   target.state = TargetState::kAbsent;
   target.left_at = left_at;
@@ -148,7 +148,7 @@
   }
   if (target.state != TargetState::kUnknown && !known) return false;
   if (target.state == TargetState::kAbsent) return false;
-  TakeForGone(agent, now);
+  MarkTargetGone(agent, now);
   return true;
 }
 
@@ -159,7 +159,7 @@
   if (target.state == TargetState::kAbsent || target.refusals_mislead) return false;
   target.refused = WasHeard(target);
   if (WasHeard(target)) Retire(target, target.last.incarnation);
-  TakeForGone(agent, now - agent.policy.leave_grace);
+  MarkTargetGone(agent, now - agent.policy.leave_grace);
   return true;
 }
 
