--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -17,7 +17,7 @@
 }
 
 // An agent of a drained domain refuses nothing while it may know only some of the others.
-auto NoneLeft(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
+auto RefuseOrDiscard(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
   ++agent.counters.none_left;
   const auto drained = IsDrained(agent.drained, agent.domain);
   if (drained && !HasSettled(agent, now)) return Discard{DiscardReason::kDrained};
@@ -31,10 +31,10 @@
 auto PassOn(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
   const auto others = OpenPeers(agent);
   const auto most = std::min<std::size_t>(others.size(), agent.policy.opening_hops);
-  if (packet.stamp.hops >= most) return NoneLeft(agent, packet, now);
+  if (packet.stamp.hops >= most) return RefuseOrDiscard(agent, packet, now);
   const auto own = Place{agent.own, agent.domain};
   const auto next = NextAnywhere(FlowFromClient(packet), others, own);
-  if (next == 0) return NoneLeft(agent, packet, now);
+  if (next == 0) return RefuseOrDiscard(agent, packet, now);
   ++agent.counters.passed_on;
   auto stamp = packet.stamp;
   ++stamp.hops;
