--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -76,7 +76,7 @@
 // open. A target that holds it reacts within some ten milliseconds, long before the client repeats
 // a packet; where it has not, every other packet goes back to its balancer: another one may hold
 // it.
-auto TurnsToOthers(FlowState& flow) -> bool {
+auto ReturnsForSearch(FlowState& flow) -> bool {
   if (flow.unanswered % 2 == 0) return false;
   ++flow.unanswered;
   return true;
@@ -96,7 +96,7 @@
     const auto ours = packet.acknowledged - flow.target_sequence <= 1;
     flow.stage = ours ? FlowStage::kOpen : FlowStage::kOpenElsewhere;
   }
-  if (flow.stage == FlowStage::kAssumed) return TurnsToOthers(flow);
+  if (flow.stage == FlowStage::kAssumed) return ReturnsForSearch(flow);
   if (flow.stage != FlowStage::kOpenElsewhere) return false;
   SetAtWork(agent, flow, false);
   ++agent.counters.elsewhere;
