--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -127,7 +127,7 @@
   // any balancer having heard of it.
   if (IsOpening(packet) && !TakesOpenings(agent, now)) return PassOn(agent, packet, now);
   ExpireOffers(agent, now);
-  if (IsOpening(packet) && !HasPlace(agent, packet, now)) {
+  if (IsOpening(packet) && !HasCapacity(agent, packet, now)) {
     ++agent.counters.over_limit;
     return PassOn(agent, packet, now);
   }
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -128,7 +128,7 @@
 // Safeguard: when more comes than the targets can work on, a queue at the target delays everybody:
 // after an outage all requests of some seconds were answered, and all of them late. An opening that
 // finds no place in time goes to a target that has one, or is refused at once.
-auto HasPlace(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
+auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
   const auto cold_limit = ColdLimit(agent, now);
   if (cold_limit != 0 && !MayGiveCold(agent.target.cold_allowance, cold_limit, now)) {
     ++agent.counters.over_cold;
--- a/src/packets/internal/flow_load.h
+++ b/src/packets/internal/flow_load.h
@@ -9,7 +9,7 @@
 /// Work that flows put on the agent's target, as far as their packets tell.
 
 /// Whether the target has a place for the opening.
-auto HasPlace(Agent& agent, const Packet& packet, base::TimePoint now) -> bool;
+auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool;
 
 /// Counts a packet that is delivered to the target.
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void;
