--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -21,7 +21,7 @@
 }
 
 // Keeps a part of a balancer's list. The whole list once every part of it has come.
-auto Gather(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
+auto AddListPart(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
   if (known.gathered_digest != hello.digest || known.gathered.size() != hello.parts) {
     known.gathered_digest = hello.digest;
     known.gathered.assign(hello.parts, {});
@@ -194,7 +194,7 @@
   known.at = now;
   known.every = hello.every;
   if (Names(hello.restarted, agent.own)) agent.had_predecessor = true;
-  auto whole = hello.listed ? Gather(known, hello) : std::nullopt;
+  auto whole = hello.listed ? AddListPart(known, hello) : std::nullopt;
   known.said = hello;
   known.said.peers.clear();
   if (whole) {
