--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -69,7 +69,8 @@
 //
 // Safeguard: all balancers name a new list at about the same time. Asked for it by each agent, 91
 // balancers sent the same list to 163 agents, twice a second while targets were replaced.
-auto Want(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now) -> void {
+auto RequestList(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now)
+    -> void {
   const auto& wanted = agent.wanted;
   const auto asked =
       wanted && wanted->digest == digest && now - wanted->at < agent.policy.list_request_timeout;
@@ -202,7 +203,7 @@
   } else if (known.digest != hello.digest) {
     Adopt(agent, known);
   }
-  if (known.digest == 0 && !hello.listed) Want(agent, balancer, hello.digest, now);
+  if (known.digest == 0 && !hello.listed) RequestList(agent, balancer, hello.digest, now);
   if (whole || late || known.digest != before) agent.peers_stale = true;
   return true;
 }
