--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -55,7 +55,7 @@
 }
 
 // The balancer names a list that it has not told; perhaps another one has.
-auto Adopt(Agent& agent, BalancerHello& known) -> void {
+auto AdoptKnownList(Agent& agent, BalancerHello& known) -> void {
   known.digest = 0;
   for (const auto& [balancer, other] : agent.balancers) {
     if (other.digest != known.said.digest) continue;
@@ -201,7 +201,7 @@
   if (whole) {
     TakeList(agent, hello.digest, std::make_shared<const std::vector<Place>>(std::move(*whole)));
   } else if (known.digest != hello.digest) {
-    Adopt(agent, known);
+    AdoptKnownList(agent, known);
   }
   if (known.digest == 0 && !hello.listed) RequestList(agent, balancer, hello.digest, now);
   if (whole || late || known.digest != before) agent.peers_stale = true;
