--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -36,7 +36,7 @@
   return whole;
 }
 
-auto Names(std::span<const Address> agents, Address agent) -> bool {
+auto Contains(std::span<const Address> agents, Address agent) -> bool {
   return std::find(agents.begin(), agents.end(), agent) != agents.end();
 }
 
@@ -156,7 +156,7 @@
   for (auto& place : places) place.domain = 0;  // spread over all of them
   const auto order = RendezvousOrder({}, places);
   const auto keepers = std::span{order}.first(std::min(order.size(), kConfigurationCopies));
-  return Names(keepers, agent.own);
+  return Contains(keepers, agent.own);
 }
 
 auto BalancersOf(const Agent& agent, std::uint16_t origin) -> std::vector<Address> {
@@ -194,7 +194,7 @@
   const auto before = known.digest;
   known.at = now;
   known.every = hello.every;
-  if (Names(hello.restarted, agent.own)) agent.had_predecessor = true;
+  if (Contains(hello.restarted, agent.own)) agent.had_predecessor = true;
   auto whole = hello.listed ? AddListPart(known, hello) : std::nullopt;
   known.said = hello;
   known.said.peers.clear();
