--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -103,7 +103,7 @@
   std::uint16_t origin = 0;      ///< Stamp::origin of the last packet
   std::uint32_t target_sequence = 0;  ///< of its answer to the opening
   /// End of the client's data that was delivered so far.
-  std::optional<std::uint32_t> asked_up_to{};
+  std::optional<std::uint32_t> request_end{};
   base::TimePoint seen{};
   base::TimePoint asked_at{};  ///< the request at work: its last packet; the epoch: none
 };
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -28,7 +28,7 @@
 auto IsNewData(const FlowState& flow, const Packet& packet) -> bool {
   if (packet.payload == 0 || flow.stage == FlowStage::kEnded) return false;
   const auto end = packet.sequence + packet.payload;
-  return !flow.asked_up_to || static_cast<std::int32_t>(end - *flow.asked_up_to) > 0;
+  return !flow.request_end || static_cast<std::int32_t>(end - *flow.request_end) > 0;
 }
 
 // How long the request took that the packet begins the answer to.
@@ -169,7 +169,7 @@
   if (IsNewData(entry->second, packet)) {
     SetAtWork(agent, entry->second, true);
     entry->second.asked_at = now;
-    entry->second.asked_up_to = packet.sequence + packet.payload;
+    entry->second.request_end = packet.sequence + packet.payload;
   }
   entry->second.seen = now;
   entry->second.origin = packet.stamp.origin;
