--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -205,7 +205,7 @@
   std::uint32_t quiet_work =
       0;                       ///< those without a packet for overtaken_timeout, at the last sweep
   base::TimePoint answered{};  ///< when the latest request that was answered had come
-  base::TimePoint tried_at{};  ///< the last opening that was let in beside quiet work
+  base::TimePoint trial_at{};  ///< the last opening that was let in beside quiet work
   std::uint32_t ended = 0;     ///< flows in FlowStage::kEnded and kNotHeld
   std::deque<OfferedFlow> offered;  ///< openings that count as load, oldest first
   base::TimePoint started_at{};     ///< of the process
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -84,8 +84,8 @@
 auto MayTry(Agent& agent, double limit, base::TimePoint now) -> bool {
   const auto busy = agent.at_work - std::min(agent.quiet_work, agent.at_work);
   if (agent.quiet_work == 0 || busy >= limit) return false;
-  if (now - agent.tried_at < agent.policy.trial_interval) return false;
-  agent.tried_at = now;
+  if (now - agent.trial_at < agent.policy.trial_interval) return false;
+  agent.trial_at = now;
   return true;
 }
 
