--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -155,9 +155,9 @@
   /// the id.
   std::deque<Incarnation> retired;
   std::optional<DoubtfulHeartbeat> doubtful;
-  base::TimePoint again_at{};    ///< when a start was believed whose id an earlier one had
-  bool leave_doubtful = false;   ///< the leave that was told may be an earlier start's
-  bool seen_from_start = false;  ///< no other process has given this incarnation an opening
+  base::TimePoint restarted_at{};  ///< when a start was believed whose id an earlier one had
+  bool leave_doubtful = false;     ///< the leave that was told may be an earlier start's
+  bool seen_from_start = false;    ///< no other process has given this incarnation an opening
   /// The same, unless another process of the agent ran a moment before this one.
   bool seen_from_first_heartbeat = false;
   /// Its failure domain has just been taken back: it may have become cold, which its next heartbeat
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -48,7 +48,7 @@
   const auto& next = heartbeat.incarnation;
   const auto before = target.last.incarnation;
   if (WasHeard(target)) Retire(target, before);
-  if (IsFormerId(target, next.id)) target.again_at = now;
+  if (IsFormerId(target, next.id)) target.restarted_at = now;
   Reinstate(target, next);
   if (WasHeard(target)) MarkFlowsUncertain(agent, StartedAtEarliest(agent, heartbeat, now));
 }
@@ -70,7 +70,7 @@
 }
 
 auto LeaveIsDoubtful(const Agent& agent, base::TimePoint now) -> bool {
-  const auto started = std::max(agent.started_at, agent.target.again_at);
+  const auto started = std::max(agent.started_at, agent.target.restarted_at);
   return started != base::TimePoint{} && now - started < agent.policy.late_leave_window;
 }
 
@@ -166,7 +166,7 @@
 auto ChangeService(Agent& agent, base::ServiceId service, base::TimePoint now) -> void {
   agent.service = service;
   agent.target = {};
-  agent.target.again_at = now;  // what the earlier service's target says may come late
+  agent.target.restarted_at = now;  // what the earlier service's target says may come late
   agent.balancers.clear();
   agent.wanted.reset();
   ForgetFlows(agent);
