--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -163,9 +163,9 @@
   /// Its failure domain has just been taken back: it may have become cold, which its next heartbeat
   /// tells.
   bool cold_doubtful = false;
-  ColdAllowance cold_allowance;   ///< what it was given while it was cold
-  bool refused = false;           ///< its port refused a connection, and it was taken for gone
-  bool refusals_mislead = false;  ///< it went on after that: its port tells nothing
+  ColdAllowance cold_allowance;  ///< what it was given while it was cold
+  bool refused = false;          ///< its port refused a connection, and it was taken for gone
+  bool ignore_refusals = false;  ///< it went on after that: its port tells nothing
 };
 
 struct AgentCounters {
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -116,7 +116,7 @@
     target.seen_from_first_heartbeat = heartbeat.sequence <= 1;
   }
   const auto went_on = target.refused && heartbeat.incarnation == target.last.incarnation;
-  if (went_on) target.refusals_mislead = true;
+  if (went_on) target.ignore_refusals = true;
   target.refused = false;
   if (claim != HeartbeatClass::kCurrent) StartAnew(agent, heartbeat, now);
   const auto before = StateOf(agent, now);
@@ -156,7 +156,7 @@
   auto& target = agent.target;
   const auto heard_since = WasHeard(target) && target.heard >= attempted_at;
   if (heard_since || target.state == TargetState::kDraining) return false;
-  if (target.state == TargetState::kAbsent || target.refusals_mislead) return false;
+  if (target.state == TargetState::kAbsent || target.ignore_refusals) return false;
   target.refused = WasHeard(target);
   if (WasHeard(target)) Retire(target, target.last.incarnation);
   MarkTargetGone(agent, now - agent.policy.leave_grace);
