--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -81,7 +81,7 @@
 }
 
 // Whether places are taken up by requests that may be none, and one more is let in to find out.
-auto MayTry(Agent& agent, double limit, base::TimePoint now) -> bool {
+auto MayAdmitTrial(Agent& agent, double limit, base::TimePoint now) -> bool {
   const auto busy = agent.at_work - std::min(agent.quiet_work, agent.at_work);
   if (agent.quiet_work == 0 || busy >= limit) return false;
   if (now - agent.trial_at < agent.policy.trial_interval) return false;
@@ -137,7 +137,7 @@
   const auto first = packet.acknowledged == 0;
   const auto limit = first ? agent.policy.opening_limit : agent.policy.copy_limit;
   const auto slots = std::max<std::uint32_t>(agent.target.last.slots, 1);
-  return agent.at_work < limit * slots || (first && MayTry(agent, limit * slots, now));
+  return agent.at_work < limit * slots || (first && MayAdmitTrial(agent, limit * slots, now));
 }
 
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void {
