--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -52,7 +52,7 @@
   agent.ended = 0;
 }
 
-auto IdleOf(const AgentPolicy& policy, FlowStage stage) -> base::Duration {
+auto IdleTimeoutOf(const AgentPolicy& policy, FlowStage stage) -> base::Duration {
   switch (stage) {
     case FlowStage::kOpen:
       return policy.flow_age;
@@ -256,7 +256,7 @@
   for (auto& [flow, state] : agent.flows) {
     if (state.at_work && IsWorkAbandoned(agent, state, now)) SetAtWork(agent, state, false);
     if (state.at_work && now - state.seen > agent.policy.overtaken_timeout) ++agent.quiet_work;
-    if (now - state.seen > IdleOf(agent.policy, state.stage)) quiet.push_back(flow);
+    if (now - state.seen > IdleTimeoutOf(agent.policy, state.stage)) quiet.push_back(flow);
   }
   for (const auto& flow : quiet) Erase(agent, flow);
   std::erase_if(agent.balancers, [&](const auto& entry) {
