--- a/src/packets/cold.h
+++ b/src/packets/cold.h
@@ -22,7 +22,7 @@
 /// Safeguard: an operator takes a failure domain back whose targets have all become cold, or empty
 /// targets join; being the least loaded they would be given all openings at once, of each balancer,
 /// and answer none of them in time.
-auto MayGiveCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+auto MayAdmitCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> bool;
 
 auto CountCold(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now) -> void;
--- a/src/packets/internal/cold.cc
+++ b/src/packets/internal/cold.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-auto MayGiveCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+auto MayAdmitCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> bool {
   const auto burst = per_second / kBurstShare + kLeastBurst;
   return allowance.used_until - now <= (burst - 1) * Interval(per_second);
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -130,7 +130,7 @@
 // finds no place in time goes to a target that has one, or is refused at once.
 auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
   const auto cold_limit = ColdLimit(agent, now);
-  if (cold_limit != 0 && !MayGiveCold(agent.target.cold_allowance, cold_limit, now)) {
+  if (cold_limit != 0 && !MayAdmitCold(agent.target.cold_allowance, cold_limit, now)) {
     ++agent.counters.over_cold;
     return false;
   }
