--- a/src/packets/cold.h
+++ b/src/packets/cold.h
@@ -25,6 +25,7 @@
 auto MayAdmitCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> bool;
 
-auto CountCold(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now) -> void;
+auto CountColdOpening(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+    -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/cold.cc
+++ b/src/packets/internal/cold.cc
@@ -21,7 +21,8 @@
   return allowance.used_until - now <= (burst - 1) * Interval(per_second);
 }
 
-auto CountCold(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now) -> void {
+auto CountColdOpening(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+    -> void {
   allowance.used_until = std::max(allowance.used_until, now) + Interval(per_second);
 }
 
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -143,7 +143,7 @@
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void {
   const auto flow = FlowFromClient(packet);
   const auto cold_limit = IsOpening(packet) ? ColdLimit(agent, now) : 0;
-  if (cold_limit != 0) CountCold(agent.target.cold_allowance, cold_limit, now);
+  if (cold_limit != 0) CountColdOpening(agent.target.cold_allowance, cold_limit, now);
   if (packet.reset) return Erase(agent, flow);
   auto entry = agent.flows.find(flow);
   if (entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld) {
