--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // How long the process has run without a stall; 0 where it has not begun.
-auto RunsFor(const Agent& agent, base::TimePoint now) -> base::Duration {
+auto RunTimeSinceStall(const Agent& agent, base::TimePoint now) -> base::Duration {
   const auto since = agent.stall.running_since;
   return since == base::TimePoint{} ? base::Duration{} : now - since;
 }
@@ -26,7 +26,7 @@
 // flows from being reset for five seconds.
 auto ReportedState(const Agent& agent, base::TimePoint now) -> TargetState {
   const auto never_heard = !WasHeard(agent.target) && !agent.target.doubtful && agent.stopping &&
-                           RunsFor(agent, now) > agent.policy.never_heard_timeout;
+                           RunTimeSinceStall(agent, now) > agent.policy.never_heard_timeout;
   const auto has_left = never_heard || StateOf(agent, now) == TargetState::kAbsent;
   if (agent.stopping) return has_left ? TargetState::kAbsent : TargetState::kStopping;
   if (has_left && TakesPackets(agent, now)) return TargetState::kDraining;
@@ -56,7 +56,7 @@
 // Whether the target has started since this process did: by its first heartbeat, or by their
 // number.
 auto SeenFromStart(const Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> bool {
-  return now - RunsFor(agent, now) < StartedAtEarliest(agent, heartbeat, now);
+  return now - RunTimeSinceStall(agent, now) < StartedAtEarliest(agent, heartbeat, now);
 }
 
 // The target is gone. Its flows are kept in doubt: what told so may be about an earlier start.
@@ -95,7 +95,7 @@
   // Not heard of, or not since a doubtful leave: counted while the process ran. What is not
   // believed may still be a live target's.
   const auto said = target.doubtful && now - target.doubtful->heard <= agent.policy.silent_for;
-  const auto waited = !said && RunsFor(agent, now) > agent.policy.silent_for;
+  const auto waited = !said && RunTimeSinceStall(agent, now) > agent.policy.silent_for;
   return waited ? TargetState::kAbsent : TargetState::kUnknown;
 }
 
