--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -43,7 +43,7 @@
 }
 
 // Flows of before are gone with the incarnation that held them.
-auto StartAnew(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> void {
+auto BeginIncarnation(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> void {
   auto& target = agent.target;
   const auto& next = heartbeat.incarnation;
   const auto before = target.last.incarnation;
@@ -118,7 +118,7 @@
   const auto went_on = target.refused && heartbeat.incarnation == target.last.incarnation;
   if (went_on) target.ignore_refusals = true;
   target.refused = false;
-  if (claim != HeartbeatClass::kCurrent) StartAnew(agent, heartbeat, now);
+  if (claim != HeartbeatClass::kCurrent) BeginIncarnation(agent, heartbeat, now);
   const auto before = StateOf(agent, now);
   target.state = heartbeat.draining ? TargetState::kDraining : TargetState::kReady;
   target.last = heartbeat;
