--- a/src/packets/cold.h
+++ b/src/packets/cold.h
@@ -4,27 +4,27 @@
 
 #include "base/types/time.h"
 
-/// How many openings a target is given while it is cold: it has just started, and bears fewer
-/// requests a second than later, whatever its slots say.
+/// Rate limit for openings to a cold target. A target is cold shortly after its start, when it
+/// handles fewer requests per second than later, regardless of its slots.
 namespace anvildrum::packets {
 
-/// What was given so far, as a generic cell rate algorithm keeps it.
+/// State of the generic cell rate algorithm that limits the openings.
 struct ColdAllowance {
-  base::TimePoint used_until{};  ///< up to when the rate is used up
+  base::TimePoint used_until{};  ///< theoretical arrival time of the next opening
 };
 
-/// Whether the target may be given one opening more.
+/// Whether the target may receive one more opening.
 ///
-/// With `per_second` openings it gets at most 1.25 * per_second + 2 in any second, and as much
-/// again as a quarter and 2 where the agent was started again in that second and has forgotten what
-/// it gave.
+/// It receives at most 1.25 * per_second + 2 openings in any second, plus another quarter of
+/// `per_second` and 2 if the agent restarted in that second and lost the allowance state.
 ///
-/// Safeguard: an operator takes a failure domain back whose targets have all become cold, or empty
-/// targets join; being the least loaded they would be given all openings at once, of each balancer,
-/// and answer none of them in time.
+/// Safeguard: when an operator returns a failure domain to service whose targets have become cold,
+/// or when new targets join, they are the least loaded ones. Every balancer would send them all of
+/// its openings at once, and they would answer none of them in time.
 auto MayAdmitCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> bool;
 
+/// Counts an opening that is delivered to the cold target.
 auto CountColdOpening(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> void;
 
--- a/src/packets/drain.h
+++ b/src/packets/drain.h
@@ -6,33 +6,32 @@
 
 #include "packets/types/place.h"
 
-/// Failure domains that an operator has drained: their targets keep the flows that they hold and
-/// are given no opening, until the operator takes the domain back.
+/// Failure domains that an operator has drained. Their targets keep their flows but receive no
+/// openings until the operator returns the domain to service.
 namespace anvildrum::packets {
 
-/// Which domains are drained. Every process keeps it and tells it on whole: it is some bytes long,
-/// and an instance that starts while the platform is away learns it from any other.
+/// The set of drained domains. Every process stores the whole set, which is a few bytes long, and
+/// forwards it. An instance that starts during a platform outage learns it from any other instance.
 struct DrainedDomains {
-  std::uint64_t revision = 0;      ///< the platform's, as of which it holds; 0: not known
-  std::vector<DomainTag> domains;  ///< in rising order, each once
+  std::uint64_t revision = 0;      ///< platform revision of the set; 0 if unknown
+  std::vector<DomainTag> domains;  ///< ascending, without duplicates
   auto operator==(const DrainedDomains&) const -> bool = default;
 };
 
-/// Domains in one message; what is beyond them is not told on, and balancers go by what they have
-/// read themselves.
+/// Maximum number of domains in one message. Domains beyond it are not forwarded; balancers then
+/// rely on the set that they read from the platform.
 inline constexpr auto kMaxDrained = std::size_t{64};
 
-/// Domains by their names, in the order that DrainedDomains keeps.
+/// Makes a set from `domains` in any order; sorts them and removes duplicates.
 auto DrainedOf(std::uint64_t revision, std::vector<DomainTag> domains) -> DrainedDomains;
 
 auto IsDrained(const DrainedDomains& drained, DomainTag domain) -> bool;
 
-/// Takes what was read or told, where it is newer. True where other domains are drained than
-/// before.
+/// Replaces `known` by `told` if `told` is newer. Returns true if the drained domains changed.
 ///
-/// Safeguard: instances tell each other what they know, and what was told may be old. By its
-/// revision an older set never comes back over a newer one, so that a domain that was taken back
-/// is not emptied again, nor one that was drained again given openings.
+/// Safeguard: instances forward sets to each other, and a forwarded set may be outdated. The
+/// revision check prevents an older set from replacing a newer one. Otherwise a domain that is back
+/// in service would be drained again, or a drained domain would receive openings.
 auto TakeDrained(DrainedDomains& known, const DrainedDomains& told) -> bool;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/agent_peers.h
+++ b/src/packets/internal/agent_peers.h
@@ -4,23 +4,24 @@
 
 #include "packets/agent.h"
 
-/// The other agents of the service, as balancers tell of them.
+/// The other agents of the service, as reported by balancers.
 namespace anvildrum::packets {
 
-/// Works out the agents that any balancer holds for alive.
+/// Recomputes `peers`, the agents that at least one balancer considers alive.
 auto MergePeers(Agent& agent, base::TimePoint now) -> void;
 
-/// Known agents besides this one to which an opening may be passed on: none of a drained domain.
+/// Other known agents to which an opening may be forwarded. Excludes agents in drained domains.
 auto OpenPeers(const Agent& agent) -> std::vector<Place>;
 
-/// What the balancer is told of drained domains: nothing where it knows the same or newer ones.
+/// The drained domains to report to the balancer. Empty if it knows the same or a newer set.
 auto DrainedFor(const Agent& agent, Address balancer) -> DrainedDomains;
 
-/// Whether a balancer has been heard from, and each that has says that it knows all.
+/// Whether at least one balancer has sent a current hello, and every such balancer states that its
+/// list of agents is complete.
 auto KnowsAll(const Agent& agent, base::TimePoint now) -> bool;
 
-/// Whether this agent has counted the same others for a while, and itself among them: one of the
-/// balancers may know an agent that the others do not yet.
+/// Whether no new peer has appeared for AgentPolicy::settling_time and the list includes this
+/// agent. Until then, one balancer may know an agent that the others do not know yet.
 auto HasSettled(const Agent& agent, base::TimePoint now) -> bool;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/agent_target.h
+++ b/src/packets/internal/agent_target.h
@@ -4,7 +4,7 @@
 
 namespace anvildrum::packets {
 
-/// Whether the target is given packets of flows that have opened.
+/// Whether packets of established flows are delivered to the target.
 auto TakesPackets(const Agent& agent, base::TimePoint now) -> bool;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/flow_load.h
+++ b/src/packets/internal/flow_load.h
@@ -6,15 +6,16 @@
 
 namespace anvildrum::packets {
 
-/// Work that flows put on the agent's target, as far as their packets tell.
+/// The load that flows put on the agent's target, as derived from their packets.
 
-/// Whether the target has a place for the opening.
+/// Whether the target has capacity for the opening.
 auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool;
 
 /// Counts a packet that is delivered to the target.
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void;
 
-/// Counts a packet that the target sent. How long it worked, where this begins an answer.
+/// Counts a packet that the target sent. Returns the service time of the request if the packet is
+/// the first data of its answer.
 auto CountFromTarget(Agent& agent, const Packet& packet, base::TimePoint now)
     -> std::optional<base::Duration>;
 
@@ -23,10 +24,10 @@
 
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void;
 
-/// The target gave a packet of the flow back: it does not hold it.
+/// Records that the target returned a packet of the flow and thus does not hold it.
 auto MarkNotHeld(Agent& agent, const FlowId& id, base::TimePoint now) -> void;
 
-/// Drops the flow's state.
+/// Drops the flow's state and its load.
 auto Erase(Agent& agent, const FlowId& flow) -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/incarnations.h
+++ b/src/packets/internal/incarnations.h
@@ -4,33 +4,34 @@
 
 #include "packets/agent.h"
 
-/// Which start of a target a heartbeat is of, and whether it is to be believed.
+/// Determines which incarnation of a target sent a heartbeat, and whether to accept it.
 namespace anvildrum::packets {
 
-/// What a heartbeat is to the incarnation that is known.
+/// Relation of a heartbeat to the known incarnation.
 enum class HeartbeatClass : std::uint8_t {
-  kCurrent,   ///< its next one
+  kCurrent,   ///< a later heartbeat of the known incarnation
   kNext,      ///< the first of an incarnation that started later
-  kDoubtful,  ///< may have been said earlier, or by a target that is gone
+  kDoubtful,  ///< may be delayed, or from a target that is gone
 };
 
-/// Whether any heartbeat has been believed since the process runs.
+/// Whether this process has accepted any heartbeat of the target.
 auto WasHeard(const LocalTarget& target) -> bool;
 
 auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> HeartbeatClass;
 
-/// Whether a doubtful heartbeat follows an earlier one of its incarnation after `apart`. Remembers
-/// it otherwise.
+/// Whether a doubtful heartbeat is confirmed: it follows the remembered one of its incarnation by
+/// at least `apart`. Remembers it if it is of another incarnation or its sequence does not rise.
 auto ConfirmHeartbeat(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
                       base::TimePoint now) -> bool;
 
-/// The incarnation has left or was replaced. Without a start: any one of its id.
+/// Records that the incarnation has left or was replaced. Without a start time, the record covers
+/// every incarnation with its id.
 auto Retire(LocalTarget& target, const Incarnation& incarnation) -> void;
 
 /// Whether an incarnation with this id has been retired.
 auto IsFormerId(const LocalTarget& target, std::uint64_t id) -> bool;
 
-/// The incarnation has proved that it lives.
+/// Removes the incarnation from the retired ones, since it has proved to be alive.
 auto Reinstate(LocalTarget& target, const Incarnation& incarnation) -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/stall.h
+++ b/src/packets/stall.h
@@ -4,31 +4,32 @@
 
 namespace anvildrum::packets {
 
-/// Notices that the process stood still (paused, suspended, out of processor time), by the time
-/// between two events that it handles.
+/// Detects that the process was stalled (paused, suspended or without processor time) from the time
+/// between two handled events.
 ///
-/// Safeguard: an opening that is refused at once has been offered nowhere else, as long as it is
-/// younger than its client's first copy, 200 ms. A process that wakes finds openings in its sockets
-/// that are older: their flows may be open at other targets by now, and a reset would break them.
+/// Safeguard: an opening that is refused at once has been offered nowhere else as long as it is
+/// younger than 200 ms, when its client sends the first copy. After a stall the sockets contain
+/// older openings. Their flows may be open at other targets by now, and a reset would break them.
 struct StallWatch {
   base::TimePoint active_at{};       ///< the last event; the epoch: none yet
   base::TimePoint running_since{};   ///< the first event, or the end of the last stall
-  base::TimePoint doubtful_until{};  ///< until then packets may have waited
+  base::TimePoint doubtful_until{};  ///< until then, received packets may be old
 };
 
-/// A process with nothing else to do counts an event this often.
+/// Interval at which an idle process records an event.
 inline constexpr auto kStallCheck = base::milliseconds{50};
 
-/// More than two checks, which may come late, and less than the 200 ms of a client's first copy by
-/// the time that the rest of an opening's way takes.
+/// Time without events that counts as a stall. It is longer than two checks, which may be late. It
+/// is shorter than the 200 ms after which a client sends its first copy, with a margin for the
+/// network delay of the opening.
 inline constexpr auto kStallAfter = base::milliseconds{120};
 
-/// How long after a stall the sockets are taken to hold what came during it. A receive buffer of
-/// 1 MB, some 5,000 openings of 200 bytes with the system's overhead, is read within it at 40 us
-/// each.
+/// Time after a stall during which the sockets may still contain packets received during the stall.
+/// It is enough to read a full receive buffer of 1 MB, about 5,000 openings of 200 bytes including
+/// kernel overhead, at 40 us each.
 inline constexpr auto kStallDoubt = base::milliseconds{200};
 
-/// Counts an event. Whether packets that are handled now may have waited for too long.
+/// Records an event. Returns whether packets handled now may have waited during a stall.
 inline auto NoteEvent(StallWatch& watch, base::TimePoint now) -> bool {
   const auto first = watch.active_at == base::TimePoint{};
   const auto stalled = !first && now - watch.active_at > kStallAfter;
--- a/src/packets/types/target.h
+++ b/src/packets/types/target.h
@@ -10,7 +10,7 @@
 
 namespace anvildrum::packets {
 
-/// The part of a service's id that travels in a stamp.
+/// The low bits of a service's id that a stamp carries.
 inline auto TagOf(base::ServiceId service) -> std::uint16_t {
   constexpr auto mask = (std::uint64_t{1} << kServiceTagBits) - 1;
   return static_cast<std::uint16_t>(service.value & mask);
@@ -19,43 +19,44 @@
 enum class TargetState : std::uint8_t {
   kUnknown,   ///< the agent has just started and has not heard of its target yet
   kAbsent,    ///< the target has left
-  kReady,     ///< takes openings
-  kDraining,  ///< keeps its flows, is given no opening
-  kStopping,  ///< the agent's process ends in a moment
+  kReady,     ///< the target accepts openings
+  kDraining,  ///< the target keeps its flows but receives no openings
+  kStopping,  ///< the agent's process is about to end
 };
 
-/// What an agent tells balancers of its target.
+/// An agent's report to a balancer about its target.
 struct TargetReport {
   Address agent = 0;
   base::ServiceId service{};
   std::uint64_t start = 0;     ///< differs between starts of the agent's process
   std::uint64_t sequence = 0;  ///< rises within a start
   TargetState state = TargetState::kUnknown;
-  std::uint32_t in_flight = 0;    ///< requests at work, openings without an answer
+  std::uint32_t in_flight = 0;    ///< requests in progress and unanswered openings
   std::uint32_t held = 0;         ///< open flows
-  std::uint32_t slots = 0;        ///< requests that the target works on at once
-  bool cold = false;              ///< just started, and slow for now
-  std::uint32_t wanted_list = 0;  ///< digest of a list of peers that the agent lacks; 0: none
-  DomainTag domain = 0;           ///< where the agent runs
-  std::uint64_t revision = 0;     ///< the platform's, of the configuration that it keeps; 0: none
-  DrainedDomains drained{};       ///< told to a balancer that has another, older set
+  std::uint32_t slots = 0;        ///< requests that the target processes concurrently
+  bool cold = false;              ///< slow after its start
+  std::uint32_t wanted_list = 0;  ///< digest of a requested peer list; 0 if none
+  DomainTag domain = 0;           ///< failure domain of the agent
+  std::uint64_t revision = 0;     ///< platform revision of its configuration copy; 0 if none
+  DrainedDomains drained{};       ///< set only if the balancer has an older, different set
 };
 
-/// One start of a target. An id may be used again by a later start, which holds nothing of before.
+/// One run of a target's process. A later run may use the same id, but holds none of the flows of
+/// an earlier one.
 struct Incarnation {
-  std::uint64_t id = 0;                     ///< digest of the target's id
+  std::uint64_t id = 0;                     ///< hash of the target's id
   std::optional<std::uint64_t> started_ms;  ///< Unix time of the start by the target's own clock
   auto operator==(const Incarnation&) const -> bool = default;
 };
 
-/// What a target tells the agent beside it.
+/// A target's heartbeat to its local agent.
 struct Heartbeat {
   Incarnation incarnation;
   base::ServiceId service{};
-  std::uint64_t sequence = 0;  ///< rises with each heartbeat of an incarnation, from its start anew
+  std::uint64_t sequence = 0;  ///< increases with each heartbeat of an incarnation
   bool draining = false;
   std::uint32_t slots = 0;
-  std::uint32_t cold_ms = 0;  ///< how much longer it is slow after its start
+  std::uint32_t cold_ms = 0;  ///< remaining time in ms of its slow phase after the start
 };
 
 }  // namespace anvildrum::packets
