--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -16,7 +16,7 @@
   return StateOf(agent, now) == TargetState::kReady && !agent.stopping && !drained;
 }
 
-// An agent of a drained domain refuses nothing while it may know only some of the others.
+// An agent in a drained domain refuses no opening while its list of other agents may be incomplete.
 auto RefuseOrDiscard(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
   ++agent.counters.none_left;
   const auto drained = IsDrained(agent.drained, agent.domain);
@@ -26,8 +26,8 @@
   return RefuseOpening{DiscardReason::kNoneTook};
 }
 
-// An opening, to the next agent in its flow's order. The stamp counts the agents that it has seen,
-// so that it ends after some of them whatever each believes of the others.
+// Forwards an opening to the next agent in its flow's order. The stamp counts the forwarding hops,
+// which bounds their number even if the agents' peer lists differ.
 auto PassOn(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
   const auto others = OpenPeers(agent);
   const auto most = std::min<std::size_t>(others.size(), agent.policy.opening_hops);
@@ -41,7 +41,7 @@
   return ForwardToAgent{next, stamp};
 }
 
-// Whether the target has given the flow back a moment ago.
+// Whether the target has recently returned a packet of the flow.
 auto IsNotHeld(const Agent& agent, const Packet& packet) -> bool {
   const auto entry = agent.flows.find(FlowFromClient(packet));
   return entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld;
@@ -52,8 +52,8 @@
   return ReturnToBalancer{by_target};
 }
 
-// The target gave back a packet of a flow. The last acknowledgement of a flow that has ended in
-// good order needs no search: its client is content.
+// Handles a packet that the target returned. The final acknowledgement of a flow that ended
+// normally needs no search, since its client expects no answer.
 auto ReturnOf(Agent& agent, const Packet& packet, base::TimePoint now) -> AgentVerdict {
   const auto flow = FlowFromClient(packet);
   const auto entry = agent.flows.find(flow);
@@ -64,30 +64,30 @@
   return Return(agent, true);
 }
 
-// After a stall nothing is refused: what came during it is old. An opening that waited may have
-// been taken by another target since.
+// Clears the refusable flag after a stall. Packets received during the stall are old, and another
+// target may have accepted a delayed opening in the meantime.
 auto WithoutStaleRefusal(Agent& agent, const Packet& received, base::TimePoint now) -> Packet {
   auto packet = received;
   if (NoteEvent(agent.stall, now)) packet.stamp.refusable = false;
   return packet;
 }
 
-// An agent that was started again does not know whether its target holds a flow or holds it half
-// open. A target that holds it reacts within some ten milliseconds, long before the client repeats
-// a packet; where it has not, every other packet goes back to its balancer: another one may hold
-// it.
+// A restarted agent does not know whether its target holds a flow established or half open. A
+// target with the established flow reacts within about 10 ms, long before the client retransmits.
+// Without a reaction, every other packet is returned to its balancer, since another target may hold
+// the flow.
 auto ReturnsForSearch(FlowState& flow) -> bool {
   if (flow.unanswered % 2 == 0) return false;
   ++flow.unanswered;
   return true;
 }
 
-// Whether the client went on with another target's answer to its opening.
+// Whether the packet is to be returned because the flow may be open at another target.
 //
-// Safeguard: copies of an opening go to different targets, both answer, and the client goes on with
-// one of them. The other holds the flow half open: it neither serves its packets nor gives them
-// back, and the flow would be silent for good at a balancer that sends them there. Until the target
-// has sent data of its own, a packet that is meant for it acknowledges exactly its answer.
+// Safeguard: copies of an opening may reach different targets. Both answer, and the client
+// continues with one of them. The other target holds the flow half open: it neither serves nor
+// returns its packets, so that a balancer that sends them there would hang the flow for good.
+// Until this target has sent data, a packet meant for it acknowledges exactly its answer.
 auto OpenedElsewhere(Agent& agent, const Packet& packet) -> bool {
   const auto entry = agent.flows.find(FlowFromClient(packet));
   if (entry == agent.flows.end() || IsOpening(packet)) return false;
@@ -103,8 +103,8 @@
   return true;
 }
 
-// The balancer that is to be told where the flow is: the target answers for the first time on a
-// flow that was taken for its own.
+// Returns the origin tag of the balancer to inform of the flow's location, if this is the target's
+// first reaction on a flow in FlowStage::kAssumed.
 auto LocatedFor(const Agent& agent, const Packet& packet) -> std::optional<std::uint16_t> {
   const auto entry = agent.flows.find(FlowFromTarget(packet));
   if (entry == agent.flows.end() || entry->second.stage != FlowStage::kAssumed) return std::nullopt;
@@ -114,17 +114,17 @@
 
 }  // namespace
 
-// Safeguard: an address is used again by another service while a balancer still has the old record;
-// the packet would be run by a service that it was not meant for. The stamp names the service that
-// the balancer chose, and only the agent's own service is delivered.
+// Safeguard: an address may be reused by another service while a balancer still has the old record,
+// and the packet would reach the wrong service. The stamp names the service that the balancer
+// chose, and only packets for the agent's own service are delivered.
 auto FromPeer(Agent& agent, const Packet& received, base::TimePoint now) -> AgentVerdict {
   const auto packet = WithoutStaleRefusal(agent, received, now);
   if (packet.stamp.service_tag != TagOf(agent.service)) {
     ++agent.counters.wrong_service;
     return Discard{DiscardReason::kWrongService};
   }
-  // A draining target would still take an opening. Passing it on here keeps the promise without
-  // any balancer having heard of it.
+  // A draining target would still accept an opening. Forwarding it here ensures that the target
+  // receives none even before any balancer knows that it drains.
   if (IsOpening(packet) && !TakesOpenings(agent, now)) return PassOn(agent, packet, now);
   ExpireOffers(agent, now);
   if (IsOpening(packet) && !HasCapacity(agent, packet, now)) {
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -20,7 +20,7 @@
   return agents;
 }
 
-// Keeps a part of a balancer's list. The whole list once every part of it has come.
+// Stores one part of a balancer's list. Returns the whole list once all parts have been received.
 auto AddListPart(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
   if (known.gathered_digest != hello.digest || known.gathered.size() != hello.parts) {
     known.gathered_digest = hello.digest;
@@ -44,7 +44,7 @@
   return now - hello.at <= std::max(agent.policy.hello_lifetime, kReportsMissed * hello.every);
 }
 
-// A list has come: it is that of every balancer that names it.
+// Assigns a received list to every balancer that announced its digest.
 auto TakeList(Agent& agent, std::uint32_t digest, const PeerList& list) -> void {
   if (agent.wanted && agent.wanted->digest == digest) agent.wanted.reset();
   for (auto& [balancer, known] : agent.balancers) {
@@ -54,7 +54,7 @@
   }
 }
 
-// The balancer names a list that it has not told; perhaps another one has.
+// Uses the list of another balancer if it has the digest that this balancer announced.
 auto AdoptKnownList(Agent& agent, BalancerHello& known) -> void {
   known.digest = 0;
   for (const auto& [balancer, other] : agent.balancers) {
@@ -65,10 +65,11 @@
   }
 }
 
-// Asks the balancer for the list that it names, unless another one has just been asked.
+// Requests the announced list from the balancer, unless it was just requested from another one.
 //
-// Safeguard: all balancers name a new list at about the same time. Asked for it by each agent, 91
-// balancers sent the same list to 163 agents, twice a second while targets were replaced.
+// Safeguard: all balancers announce a new list at about the same time. When each agent requested it
+// from each balancer, 91 balancers sent the same list to 163 agents, twice a second while targets
+// were replaced.
 auto RequestList(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now)
     -> void {
   const auto& wanted = agent.wanted;
@@ -79,8 +80,7 @@
 
 }  // namespace
 
-// The agents that any balancer holds for alive. Most balancers hold the same ones: each list is
-// taken once.
+// Most balancers announce the same list, so each distinct list is merged only once.
 auto MergePeers(Agent& agent, base::TimePoint now) -> void {
   agent.merged_at = now;
   agent.peers_stale = false;
@@ -111,8 +111,8 @@
   return open;
 }
 
-// A domain that was taken back may have become cold a moment before: until the target says
-// otherwise it is given what a cold one bears.
+// The target of a domain that returns to service may have just become cold. Until its next
+// heartbeat it receives openings at the rate of a cold target.
 auto TakeDrainedOf(Agent& agent, const Hello& hello) -> void {
   const auto was_drained = IsDrained(agent.drained, agent.domain);
   TakeDrained(agent.drained, hello.drained);
@@ -127,7 +127,7 @@
   return knows || known.revision >= agent.drained.revision ? DrainedDomains{} : agent.drained;
 }
 
-// While an agent is away, or one may be unknown to some balancer, nobody can tell that a flow is
+// While an agent is unreachable, or may be unknown to some balancer, a flow cannot be considered
 // lost.
 auto KnowsAll(const Agent& agent, base::TimePoint now) -> bool {
   auto heard = false;
@@ -139,8 +139,8 @@
   return heard;
 }
 
-// A balancer that greets less often tells later of an agent that it alone knows: what has changed
-// is told to all within a tenth of its period.
+// A balancer with a longer hello period announces an agent that it alone knows later. It informs
+// all agents of a change within a tenth of its period.
 auto HasSettled(const Agent& agent, base::TimePoint now) -> bool {
   auto settling_time = agent.policy.settling_time;
   for (const auto& [balancer, hello] : agent.balancers) {
@@ -153,7 +153,8 @@
 
 auto HoldsConfigurationCopy(const Agent& agent) -> bool {
   auto places = agent.peers;
-  for (auto& place : places) place.domain = 0;  // spread over all of them
+  for (auto& place : places)
+    place.domain = 0;  // ignores the domains, so that the copies are spread over all of them
   const auto order = RendezvousOrder({}, places);
   const auto keepers = std::span{order}.first(std::min(order.size(), kConfigurationCopies));
   return Contains(keepers, agent.own);
--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -7,21 +7,23 @@
 namespace anvildrum::packets {
 namespace {
 
-// Between two times that the other agents are worked out for a question: all lists are sorted for
-// it, and questions come by the hundred after a loss of power.
+// Minimum time between two merges of the peer lists for queries. Each merge sorts all lists, and
+// hundreds of queries arrive after a power loss.
 constexpr auto kMergeInterval = base::milliseconds{15};
 
 enum class Holding : std::uint8_t { kNot, kUnsure, kHeld };
 
-// Everything that the target gets comes by way of the agent beside it, so that an agent which has
-// seen the target's first opening, or runs for longer than any flow is kept, knows all its flows.
+// Whether the agent knows all flows of its target. All packets to the target pass through its
+// agent. An agent that has seen the target's first opening, or has run for longer than any flow is
+// kept, therefore knows all its flows.
 //
-// Safeguard: a target that crashed starts again and takes openings for up to a period before its
-// first heartbeat. Its agent's process ended in that time, and the next one took the first
-// heartbeat for the begin of all: a flow that the target held was reset. A balancer that knew the
-// earlier process tells of it; after a loss of power there is none, and nothing to know.
+// Safeguard: a crashed target may restart and accept openings for up to one period before its first
+// heartbeat. If its agent restarts in that time, the new process must not treat the first heartbeat
+// as the target's start, or a flow that the target holds is reset. A balancer that knew the earlier
+// process reports it. After a power loss no balancer knows one, and there are no earlier flows.
 auto KnowsFlows(const Agent& agent, base::TimePoint now) -> bool {
-  if (StateOf(agent, now) == TargetState::kAbsent) return false;  // it leaves: flows are forgotten
+  if (StateOf(agent, now) == TargetState::kAbsent)
+    return false;  // it has left: its flows are uncertain
   if (agent.overflowed) return false;
   const auto runs_for_long =
       agent.started_at != base::TimePoint{} && now - agent.started_at > agent.policy.flow_age;
@@ -29,8 +31,9 @@
   return agent.target.seen_from_start || first_heard || runs_for_long;
 }
 
-// A target that answered an opening holds the flow half open, and the client may go on with it by
-// any balancer. One whose client went on with another target is of no use to it.
+// A target that answered an opening holds the flow half open, and the client may continue with it
+// through any balancer. Once the client has continued with another target, this one does not count
+// as holding the flow.
 auto HoldingOf(const Agent& agent, const FlowId& flow, bool knows_flows) -> Holding {
   const auto entry = agent.flows.find(flow);
   if (entry == agent.flows.end()) return knows_flows ? Holding::kNot : Holding::kUnsure;
@@ -55,10 +58,11 @@
   answer.agent = agent.own;
   answer.service = agent.service;
   answer.token = query.token;
-  // A target of another service holds none of these flows; that of the earlier one has ended.
+  // A target of another service holds none of these flows, and the target of the earlier service
+  // has ended.
   if (query.service != agent.service) return answer;
-  // Between checks, while targets are replaced one after the other, a hello has almost always just
-  // come: without looking at it now nothing would be proved for as long as that goes on.
+  // While targets are replaced one after the other, new hellos arrive between almost all stall
+  // checks. Without a merge here, no flow could be confirmed as lost during that time.
   if (agent.peers_stale && now - agent.merged_at >= kMergeInterval) MergePeers(agent, now);
   answer.settled = !doubtful && HasSettled(agent, now) && KnowsAll(agent, now);
   answer.peers_digest = agent.peers_digest;
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -9,21 +9,21 @@
 namespace anvildrum::packets {
 namespace {
 
-// How long the process has run without a stall; 0 where it has not begun.
+// Time since the start or the end of the last stall; 0 before the first event.
 auto RunTimeSinceStall(const Agent& agent, base::TimePoint now) -> base::Duration {
   const auto since = agent.stall.running_since;
   return since == base::TimePoint{} ? base::Duration{} : now - since;
 }
 
-// What balancers are told of the target.
+// The target's state as reported to balancers.
 //
-// Safeguard: an agent that ends may come back to a target that holds flows, and until it does no
-// flow of the service is reset. One whose target has left before it has none to come back to. Told
-// apart from the others only after seconds of silence, a service whose targets left one a second
-// had no flow reset for all that time, and clients of flows lost in a loss of power waited until
-// they gave up. So is one that was never heard of, which is not waited for as long as the others:
-// an agent that was stopped 1.2 s after all machines had lost power kept 3,000 packets of lost
-// flows from being reset for five seconds.
+// Safeguard: a stopping agent may return to a target that holds flows, and until then no flow of
+// the service is reset. An agent whose target has already left is reported as absent at once. If
+// balancers detected this only after seconds of silence, a service whose targets leave at one per
+// second would have no flow reset during that time, and clients of flows lost in a power loss would
+// wait until they give up. A target that has never been heard is also reported as absent, after a
+// shorter time-out: an agent that was stopped 1.2 s after all machines had lost power delayed the
+// resets for 3,000 packets of lost flows by five seconds.
 auto ReportedState(const Agent& agent, base::TimePoint now) -> TargetState {
   const auto never_heard = !WasHeard(agent.target) && !agent.target.doubtful && agent.stopping &&
                            RunTimeSinceStall(agent, now) > agent.policy.never_heard_timeout;
@@ -33,8 +33,8 @@
   return StateOf(agent, now);
 }
 
-// When the heartbeat's sender may have started: it counts each, and waits a period for the next.
-// Counted twice as long, since one may be late.
+// The earliest time at which the heartbeat's sender may have started, as computed from its sequence
+// and the heartbeat period. The age is doubled, since heartbeats may be late.
 auto StartedAtEarliest(const Agent& agent, const Heartbeat& heartbeat, base::TimePoint now)
     -> base::TimePoint {
   constexpr auto most = std::uint64_t{1'000'000};  // a week, and no overflow
@@ -42,7 +42,7 @@
   return now - 2 * count * agent.policy.heartbeat_every;
 }
 
-// Flows of before are gone with the incarnation that held them.
+// Switches to the heartbeat's incarnation. Flows of the earlier incarnation are gone.
 auto BeginIncarnation(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> void {
   auto& target = agent.target;
   const auto& next = heartbeat.incarnation;
@@ -53,13 +53,13 @@
   if (WasHeard(target)) MarkFlowsUncertain(agent, StartedAtEarliest(agent, heartbeat, now));
 }
 
-// Whether the target has started since this process did: by its first heartbeat, or by their
-// number.
+// Whether the target started after this process, judged by the sequence of its heartbeat.
 auto SeenFromStart(const Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> bool {
   return now - RunTimeSinceStall(agent, now) < StartedAtEarliest(agent, heartbeat, now);
 }
 
-// The target is gone. Its flows are kept in doubt: what told so may be about an earlier start.
+// Marks the target as gone. Its flows are kept as uncertain, since the notice may concern an
+// earlier incarnation.
 auto MarkTargetGone(Agent& agent, base::TimePoint left_at) -> void {
   auto& target = agent.target;
   target.state = TargetState::kAbsent;
@@ -77,7 +77,7 @@
 }  // namespace
 
 // An agent that has just started does not know its target yet, but the target may be alive and hold
-// flows: withheld until its first heartbeat, their packets would find nobody.
+// flows. If their packets were withheld until the first heartbeat, they would reach no target.
 auto TakesPackets(const Agent& agent, base::TimePoint now) -> bool {
   if (StateOf(agent, now) != TargetState::kAbsent) return true;
   return now - agent.target.left_at < agent.policy.leave_grace;
@@ -92,8 +92,8 @@
   if (present && !silent) return target.state;
   if (target.state == TargetState::kAbsent) return target.state;
   if (present && !target.leave_doubtful) return TargetState::kUnknown;
-  // Not heard of, or not since a doubtful leave: counted while the process ran. What is not
-  // believed may still be a live target's.
+  // The target was never heard, or not since a doubtful leave. The silence counts only while the
+  // process ran. A doubtful heartbeat may still come from a live target.
   const auto said = target.doubtful && now - target.doubtful->heard <= agent.policy.silent_for;
   const auto waited = !said && RunTimeSinceStall(agent, now) > agent.policy.silent_for;
   return waited ? TargetState::kAbsent : TargetState::kUnknown;
@@ -143,7 +143,7 @@
   }
   Retire(target, known ? target.last.incarnation : Incarnation{id, std::nullopt});
   if (!WasHeard(target) && LeaveIsDoubtful(agent, now)) {
-    target.leave_doubtful = true;  // silent from its start on, it has left by StateOf
+    target.leave_doubtful = true;  // if no heartbeat follows, StateOf reports it as absent
     return true;
   }
   if (target.state != TargetState::kUnknown && !known) return false;
@@ -166,7 +166,7 @@
 auto ChangeService(Agent& agent, base::ServiceId service, base::TimePoint now) -> void {
   agent.service = service;
   agent.target = {};
-  agent.target.restarted_at = now;  // what the earlier service's target says may come late
+  agent.target.restarted_at = now;  // messages of the earlier service's target may arrive late
   agent.balancers.clear();
   agent.wanted.reset();
   ForgetFlows(agent);
@@ -179,7 +179,7 @@
 }
 
 auto MakeReport(Agent& agent, Address balancer, base::TimePoint now) -> TargetReport {
-  NoteEvent(agent.stall, now);  // a process that wakes must not take its own pause for silence
+  NoteEvent(agent.stall, now);  // after a stall, the pause must not count as silence
   ExpireOffers(agent, now);
   const auto& target = agent.target;
   const auto asks = agent.wanted && agent.wanted->balancer == balancer;
--- a/src/packets/internal/cold.cc
+++ b/src/packets/internal/cold.cc
@@ -5,7 +5,8 @@
 namespace anvildrum::packets {
 namespace {
 
-// Openings at once, beside the rate: a quarter of a second's, and two of a service that bears few.
+// The burst on top of the rate is a quarter of the openings per second plus two, so that services
+// with a low rate get a usable burst.
 constexpr auto kBurstShare = 4U;
 constexpr auto kLeastBurst = 2U;
 
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -6,14 +6,14 @@
 namespace anvildrum::packets {
 namespace {
 
-// Whether the flow is no load, and remembered for its client's last packets alone.
+// Whether the flow causes no load and is kept only to recognize its client's last packets.
 auto IsOver(const FlowState& flow) -> bool {
   return flow.stage == FlowStage::kEnded || flow.stage == FlowStage::kNotHeld;
 }
 
-// The target has sent its last data. What the client repeats until it has closed the flow too is
-// told from new work by this state, and so is its last acknowledgement, which the target gives
-// back.
+// Records that the target has sent its last data. The state tells new requests from packets that
+// the client retransmits until it closes the flow, and from its final acknowledgement, which the
+// target returns.
 auto EndFlow(Agent& agent, FlowState& flow) -> void {
   SetAtWork(agent, flow, false);
   if (!IsOver(flow)) ++agent.ended;
@@ -22,16 +22,16 @@
 
 // Whether the packet carries data that has not been delivered before.
 //
-// Safeguard: a client sends a request again whose answer is late or lost, and the copy comes when
-// the answer has been given. The target acknowledges it without data. Counted as work that is never
-// done, six of them closed a target of three slots for 16 s while it was idle.
+// Safeguard: a client retransmits a request whose answer is late or lost, and the copy may arrive
+// after the answer was sent. The target acknowledges it without data, so it would count as load
+// without end: six such copies blocked an idle target of three slots for 16 s.
 auto IsNewData(const FlowState& flow, const Packet& packet) -> bool {
   if (packet.payload == 0 || flow.stage == FlowStage::kEnded) return false;
   const auto end = packet.sequence + packet.payload;
   return !flow.request_end || static_cast<std::int32_t>(end - *flow.request_end) > 0;
 }
 
-// How long the request took that the packet begins the answer to.
+// Returns the service time of the request in progress and marks it as answered.
 auto TakeAnswer(Agent& agent, FlowState& flow, base::TimePoint now)
     -> std::optional<base::Duration> {
   if (flow.asked_at == base::TimePoint{}) return std::nullopt;
@@ -39,11 +39,11 @@
   return now - std::exchange(flow.asked_at, {});
 }
 
-// Openings a second for a cold target whose service's rate no balancer has told yet. Each service
-// that states one bears more.
+// Openings per second for a cold target until a balancer reports the rate of its service. It is
+// lower than the rate of any service that has one configured.
 constexpr auto kColdBeforeTold = std::uint32_t{4};
 
-// No flow is load.
+// Resets all load counters.
 auto ClearLoad(Agent& agent) -> void {
   agent.overflowed = false;
   agent.offered.clear();
@@ -64,13 +64,13 @@
   }
 }
 
-// Safeguard: after all agents were started again, each packet was taken for work that its target
-// had begun; where what a target gave back was lost, such requests took up all places, and openings
-// were refused while targets stood idle.
+// Safeguard: after a restart of all agents, each packet counts as load of its target. If packets
+// that a target returned are lost, such requests take up all capacity, and openings are refused
+// while targets are idle.
 //
-// Safeguard: a client gives up before all of its request has come. The target acknowledges the part
-// and waits, with its slots free. Counted as work for as long as the flow may be idle, such
-// requests closed an idle target.
+// Safeguard: a client may give up before its whole request has arrived. The target acknowledges the
+// part and waits, with its slots free. If such requests counted as load until the flow's idle
+// time-out, they would block an idle target.
 auto IsWorkAbandoned(const Agent& agent, const FlowState& flow, base::TimePoint now) -> bool {
   const auto& policy = agent.policy;
   const auto quiet_for = now - flow.seen;
@@ -80,7 +80,8 @@
   return quiet_for > policy.overtaken_timeout && overtaken;
 }
 
-// Whether places are taken up by requests that may be none, and one more is let in to find out.
+// Whether to admit a trial opening because silent requests, which may be abandoned, take up the
+// capacity.
 auto MayAdmitTrial(Agent& agent, double limit, base::TimePoint now) -> bool {
   const auto busy = agent.at_work - std::min(agent.quiet_work, agent.at_work);
   if (agent.quiet_work == 0 || busy >= limit) return false;
@@ -109,10 +110,9 @@
   agent.flows.erase(entry);
 }
 
-// Safeguard: an opening is answered by two targets, or its client is gone; the target that the
-// client did not go on with holds it half open for seconds. Counted as load, such flows filled the
-// limit of targets that were idle: in a rush of copies 0.7 of the openings were refused while half
-// of the slots were free.
+// Safeguard: if two targets answer an opening, or its client is gone, a target holds the flow half
+// open for seconds. Counted as load, such flows fill the limit of idle targets: during a burst of
+// copies, 0.7 of the openings were refused while half of the slots were free.
 auto ExpireOffers(Agent& agent, base::TimePoint now) -> void {
   while (!agent.offered.empty()) {
     const auto& oldest = agent.offered.front();
@@ -125,9 +125,9 @@
   }
 }
 
-// Safeguard: when more comes than the targets can work on, a queue at the target delays everybody:
-// after an outage all requests of some seconds were answered, and all of them late. An opening that
-// finds no place in time goes to a target that has one, or is refused at once.
+// Safeguard: under overload, a queue at the target delays all requests: after an outage, all
+// requests of several seconds were answered, but too late. An opening that cannot be served in time
+// goes to a target with capacity or is refused at once.
 auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
   const auto cold_limit = ColdLimit(agent, now);
   if (cold_limit != 0 && !MayAdmitCold(agent.target.cold_allowance, cold_limit, now)) {
@@ -192,8 +192,8 @@
     flow.stage = FlowStage::kAnswered;
     flow.target_sequence = packet.sequence;
   }
-  // The target holds the flow; whether it works on it is not known, since a request that it has
-  // answered before, and a part of one, are acknowledged alike.
+  // The target holds the flow. Whether it processes a request is unknown, since it acknowledges a
+  // retransmitted request and a part of a request in the same way.
   if (!packet.synchronize && flow.stage == FlowStage::kAssumed) {
     flow.stage = FlowStage::kOpen;
     SetAtWork(agent, flow, false);
--- a/src/packets/internal/flow_load.h
+++ b/src/packets/internal/flow_load.h
@@ -19,7 +19,7 @@
 auto CountFromTarget(Agent& agent, const Packet& packet, base::TimePoint now)
     -> std::optional<base::Duration>;
 
-/// Openings that nobody has gone on with for AgentPolicy::opening_for are no work any more.
+/// Stops counting openings as load whose client has not continued for AgentPolicy::offer_timeout.
 auto ExpireOffers(Agent& agent, base::TimePoint now) -> void;
 
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void;
