--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -11,7 +11,7 @@
 /// platform turns away or tells late.
 namespace anvildrum::packets {
 
-/// Agents in one message: with what else a hello says, kMostDrained domains among it, no datagram
+/// Agents in one message: with what else a hello says, kMaxDrained domains among it, no datagram
 /// is longer than an Ethernet frame.
 inline constexpr auto kMostHearsay = std::size_t{75};
 
