--- a/src/packets/agent.h
+++ b/src/packets/agent.h
@@ -125,12 +125,12 @@
 /// The last hello of a balancer, and the peer list that it announced.
 struct BalancerHello {
   base::TimePoint at{};
-  base::Duration every{};             ///< period of its hellos
-  Hello said;                         ///< the hello without its peer list
-  PeerList peers;                     ///< null until the first list is known
-  std::uint32_t digest = 0;           ///< of `peers`; 0 if the balancer announced a newer list
-  std::uint32_t gathered_digest = 0;  ///< of the list being received
-  std::vector<std::vector<Place>> gathered;  ///< by part; empty if not yet received
+  base::Duration every{};               ///< period of its hellos
+  Hello said;                           ///< the hello without its peer list
+  PeerList peers;                       ///< null until the first list is known
+  std::uint32_t digest = 0;             ///< of `peers`; 0 if the balancer announced a newer list
+  std::uint32_t list_parts_digest = 0;  ///< of the list being received
+  std::vector<std::vector<Place>> list_parts;  ///< by part; empty if not yet received
 };
 
 /// A requested peer list, identified by its digest.
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -22,17 +22,17 @@
 
 // Stores one part of a balancer's list. Returns the whole list once all parts have been received.
 auto AddListPart(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
-  if (known.gathered_digest != hello.digest || known.gathered.size() != hello.parts) {
-    known.gathered_digest = hello.digest;
-    known.gathered.assign(hello.parts, {});
+  if (known.list_parts_digest != hello.digest || known.list_parts.size() != hello.parts) {
+    known.list_parts_digest = hello.digest;
+    known.list_parts.assign(hello.parts, {});
   }
-  known.gathered[hello.part] = AgentsOf(hello);
+  known.list_parts[hello.part] = AgentsOf(hello);
   auto whole = std::vector<Place>{};
-  for (const auto& part : known.gathered) {
+  for (const auto& part : known.list_parts) {
     if (part.empty() && hello.parts > 1) return std::nullopt;
     whole.insert(whole.end(), part.begin(), part.end());
   }
-  known.gathered.clear();
+  known.list_parts.clear();
   return whole;
 }
 
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -41,7 +41,7 @@
 
 // Openings per second for a cold target until a balancer reports the rate of its service. It is
 // lower than the rate of any service that has one configured.
-constexpr auto kColdBeforeTold = std::uint32_t{4};
+constexpr auto kDefaultColdRate = std::uint32_t{4};
 
 // Resets all load counters.
 auto ClearLoad(Agent& agent) -> void {
@@ -93,7 +93,7 @@
 }  // namespace
 
 auto ColdLimit(const Agent& agent, base::TimePoint now) -> std::uint32_t {
-  return IsCold(agent, now) ? agent.cold_per_second.value_or(kColdBeforeTold) : 0;
+  return IsCold(agent, now) ? agent.cold_per_second.value_or(kDefaultColdRate) : 0;
 }
 
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void {
