--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -91,9 +91,9 @@
   this->core.own = AddressOf(settings.packets);
   this->core.domain = packets::DomainTagOf(settings.failure_domain);
   this->core.policy.silent_for = SilentFor(*settings.agent);
-  this->core.policy.unheard_for = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
+  this->core.policy.never_heard_timeout = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
   this->core.policy.heartbeat_every = settings.agent->heartbeat_period;
-  this->core.policy.proof_apart = settings.agent->heartbeat_period / 2;
+  this->core.policy.confirmation_interval = settings.agent->heartbeat_period / 2;
   this->core.service = base::ServiceIdOf(settings.agent->service);
   this->core.start = StartSeed(settings);
 }
@@ -113,7 +113,7 @@
       this->io, packets::kStallCheck, [this](base::TimePoint now) { this->Check(now); });
   this->sweep_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kSweepPeriod, [this](base::TimePoint now) {
-        packets::ForgetQuiet(this->core, now);
+        packets::DropIdleState(this->core, now);
         if (!this->IsKnown()) this->AnnounceToSeeds();
         this->RemoveRecordOfSilent(now);
         this->LogTraffic();
@@ -138,7 +138,7 @@
   const auto now = base::Now();
   const auto newer = revision > this->configuration.Revision();
   if (!newer || now - this->asked_at < kAskAgain) return;
-  if (!packets::KeepsConfiguration(this->core)) return;
+  if (!packets::HoldsConfigurationCopy(this->core)) return;
   this->asked_at = now;
   this->configuration.AskFor(balancer);
 }
@@ -242,35 +242,37 @@
                       const packets::AgentVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(
-      base::Overloaded{
-          [&](const packets::DeliverToTarget& deliver) {
-            this->packet_port->Send(this->settings.agent->target, datagram);
-            if (deliver.located) {
-              this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
-            }
-          },
-          [&](const packets::SendToClient& reply) {
-            if (reply.answered_after) {
-              this->ObserveWork(*reply.answered_after);
-            }
-            if (reply.located_for) {
-              this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
-            }
-            this->packet_port->Send(base::EndpointFromV4(packet.destination.address, port),
-                                    datagram);
-          },
-          [&](const packets::ForwardToAgent& forward) {
-            ForwardPacket(*this->packet_port, this->adapter,
-                          base::EndpointFromV4(forward.agent, port), datagram, forward.stamp);
-          },
-          [&](const packets::RefuseOpening& refuse) {
-            this->Refuse(packet);
-            this->LogDecision("opening_refused", packet, NameOf(refuse.reason));
-          },
-          [&](const packets::GiveBack& back) { this->SendBack(datagram, packet, back.by_target); },
-          [&](const packets::Discard& discard) {
-            this->LogDecision("packet_dropped", packet, NameOf(discard.reason));
-          }},
+      base::Overloaded{[&](const packets::DeliverToTarget& deliver) {
+                         this->packet_port->Send(this->settings.agent->target, datagram);
+                         if (deliver.located) {
+                           this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
+                         }
+                       },
+                       [&](const packets::SendToClient& reply) {
+                         if (reply.answered_after) {
+                           this->ObserveWork(*reply.answered_after);
+                         }
+                         if (reply.located_for) {
+                           this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
+                         }
+                         this->packet_port->Send(
+                             base::EndpointFromV4(packet.destination.address, port), datagram);
+                       },
+                       [&](const packets::ForwardToAgent& forward) {
+                         ForwardPacket(*this->packet_port, this->adapter,
+                                       base::EndpointFromV4(forward.agent, port), datagram,
+                                       forward.stamp);
+                       },
+                       [&](const packets::RefuseOpening& refuse) {
+                         this->Refuse(packet);
+                         this->LogDecision("opening_refused", packet, NameOf(refuse.reason));
+                       },
+                       [&](const packets::ReturnToBalancer& back) {
+                         this->SendBack(datagram, packet, back.by_target);
+                       },
+                       [&](const packets::Discard& discard) {
+                         this->LogDecision("packet_dropped", packet, NameOf(discard.reason));
+                       }},
       verdict);
 }
 
--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -20,31 +20,31 @@
   return agents;
 }
 
-// Keeps a part of a balancer's list. The whole list once every part of it has come.
-auto Gather(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
-  if (known.gathered_digest != hello.digest || known.gathered.size() != hello.parts) {
-    known.gathered_digest = hello.digest;
-    known.gathered.assign(hello.parts, {});
+// Stores one part of a balancer's list. Returns the whole list once all parts have been received.
+auto AddListPart(BalancerHello& known, const Hello& hello) -> std::optional<std::vector<Place>> {
+  if (known.list_parts_digest != hello.digest || known.list_parts.size() != hello.parts) {
+    known.list_parts_digest = hello.digest;
+    known.list_parts.assign(hello.parts, {});
   }
-  known.gathered[hello.part] = AgentsOf(hello);
+  known.list_parts[hello.part] = AgentsOf(hello);
   auto whole = std::vector<Place>{};
-  for (const auto& part : known.gathered) {
+  for (const auto& part : known.list_parts) {
     if (part.empty() && hello.parts > 1) return std::nullopt;
     whole.insert(whole.end(), part.begin(), part.end());
   }
-  known.gathered.clear();
+  known.list_parts.clear();
   return whole;
 }
 
-auto Names(std::span<const Address> agents, Address agent) -> bool {
+auto Contains(std::span<const Address> agents, Address agent) -> bool {
   return std::find(agents.begin(), agents.end(), agent) != agents.end();
 }
 
 auto IsFresh(const Agent& agent, const BalancerHello& hello, base::TimePoint now) -> bool {
-  return now - hello.at <= std::max(agent.policy.hello_for, kReportsMissed * hello.every);
+  return now - hello.at <= std::max(agent.policy.hello_lifetime, kReportsMissed * hello.every);
 }
 
-// A list has come: it is that of every balancer that names it.
+// Assigns a received list to every balancer that announced its digest.
 auto TakeList(Agent& agent, std::uint32_t digest, const PeerList& list) -> void {
   if (agent.wanted && agent.wanted->digest == digest) agent.wanted.reset();
   for (auto& [balancer, known] : agent.balancers) {
@@ -54,8 +54,8 @@
   }
 }
 
-// The balancer names a list that it has not told; perhaps another one has.
-auto Adopt(Agent& agent, BalancerHello& known) -> void {
+// Uses the list of another balancer if it has the digest that this balancer announced.
+auto AdoptKnownList(Agent& agent, BalancerHello& known) -> void {
   known.digest = 0;
   for (const auto& [balancer, other] : agent.balancers) {
     if (other.digest != known.said.digest) continue;
@@ -65,23 +65,24 @@
   }
 }
 
-// Asks the balancer for the list that it names, unless another one has just been asked.
+// Requests the announced list from the balancer, unless it was just requested from another one.
 //
-// Safeguard: all balancers name a new list at about the same time. Asked for it by each agent, 91
-// balancers sent the same list to 163 agents, twice a second while targets were replaced.
-auto Want(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now) -> void {
+// Safeguard: all balancers announce a new list at about the same time. When each agent requested it
+// from each balancer, 91 balancers sent the same list to 163 agents, twice a second while targets
+// were replaced.
+auto RequestList(Agent& agent, Address balancer, std::uint32_t digest, base::TimePoint now)
+    -> void {
   const auto& wanted = agent.wanted;
   const auto asked =
-      wanted && wanted->digest == digest && now - wanted->at < agent.policy.list_within;
+      wanted && wanted->digest == digest && now - wanted->at < agent.policy.list_request_timeout;
   if (!asked) agent.wanted = WantedList{digest, balancer, now};
 }
 
 }  // namespace
 
-// The agents that any balancer holds for alive. Most balancers hold the same ones: each list is
-// taken once.
-auto UnitePeers(Agent& agent, base::TimePoint now) -> void {
-  agent.united_at = now;
+// Most balancers announce the same list, so each distinct list is merged only once.
+auto MergePeers(Agent& agent, base::TimePoint now) -> void {
+  agent.merged_at = now;
   agent.peers_stale = false;
   auto all = std::vector<Place>{};
   auto taken = std::unordered_set<std::uint32_t>{};
@@ -110,8 +111,8 @@
   return open;
 }
 
-// A domain that was taken back may have become cold a moment before: until the target says
-// otherwise it is given what a cold one bears.
+// The target of a domain that returns to service may have just become cold. Until its next
+// heartbeat it receives openings at the rate of a cold target.
 auto TakeDrainedOf(Agent& agent, const Hello& hello) -> void {
   const auto was_drained = IsDrained(agent.drained, agent.domain);
   TakeDrained(agent.drained, hello.drained);
@@ -126,7 +127,7 @@
   return knows || known.revision >= agent.drained.revision ? DrainedDomains{} : agent.drained;
 }
 
-// While an agent is away, or one may be unknown to some balancer, nobody can tell that a flow is
+// While an agent is unreachable, or may be unknown to some balancer, a flow cannot be considered
 // lost.
 auto KnowsAll(const Agent& agent, base::TimePoint now) -> bool {
   auto heard = false;
@@ -138,24 +139,25 @@
   return heard;
 }
 
-// A balancer that greets less often tells later of an agent that it alone knows: what has changed
-// is told to all within a tenth of its period.
+// A balancer with a longer hello period announces an agent that it alone knows later. It informs
+// all agents of a change within a tenth of its period.
 auto HasSettled(const Agent& agent, base::TimePoint now) -> bool {
-  auto settle_for = agent.policy.settle_for;
+  auto settling_time = agent.policy.settling_time;
   for (const auto& [balancer, hello] : agent.balancers) {
-    settle_for = std::max<base::Duration>(settle_for, hello.every / 4);
+    settling_time = std::max<base::Duration>(settling_time, hello.every / 4);
   }
-  if (agent.peers_stale || now - agent.peers_since < settle_for) return false;
+  if (agent.peers_stale || now - agent.peers_since < settling_time) return false;
   const auto own = Place{agent.own, agent.domain};
   return std::binary_search(agent.peers.begin(), agent.peers.end(), own);
 }
 
-auto KeepsConfiguration(const Agent& agent) -> bool {
+auto HoldsConfigurationCopy(const Agent& agent) -> bool {
   auto places = agent.peers;
-  for (auto& place : places) place.domain = 0;  // spread over all of them
+  for (auto& place : places)
+    place.domain = 0;  // ignores the domains, so that the copies are spread over all of them
   const auto order = RendezvousOrder({}, places);
-  const auto keepers = std::span{order}.first(std::min(order.size(), kKeepers));
-  return Names(keepers, agent.own);
+  const auto keepers = std::span{order}.first(std::min(order.size(), kConfigurationCopies));
+  return Contains(keepers, agent.own);
 }
 
 auto BalancersOf(const Agent& agent, std::uint16_t origin) -> std::vector<Address> {
@@ -180,8 +182,8 @@
 }
 
 auto RefreshPeers(Agent& agent, base::TimePoint now) -> void {
-  const auto lapsed = now - agent.united_at > agent.policy.hello_for / 2;
-  if (agent.peers_stale || lapsed) UnitePeers(agent, now);
+  const auto lapsed = now - agent.merged_at > agent.policy.hello_lifetime / 2;
+  if (agent.peers_stale || lapsed) MergePeers(agent, now);
 }
 
 auto TakeHello(Agent& agent, Address balancer, const Hello& hello, base::TimePoint now) -> bool {
@@ -193,16 +195,16 @@
   const auto before = known.digest;
   known.at = now;
   known.every = hello.every;
-  if (Names(hello.restarted, agent.own)) agent.had_predecessor = true;
-  auto whole = hello.listed ? Gather(known, hello) : std::nullopt;
+  if (Contains(hello.restarted, agent.own)) agent.had_predecessor = true;
+  auto whole = hello.listed ? AddListPart(known, hello) : std::nullopt;
   known.said = hello;
   known.said.peers.clear();
   if (whole) {
     TakeList(agent, hello.digest, std::make_shared<const std::vector<Place>>(std::move(*whole)));
   } else if (known.digest != hello.digest) {
-    Adopt(agent, known);
+    AdoptKnownList(agent, known);
   }
-  if (known.digest == 0 && !hello.listed) Want(agent, balancer, hello.digest, now);
+  if (known.digest == 0 && !hello.listed) RequestList(agent, balancer, hello.digest, now);
   if (whole || late || known.digest != before) agent.peers_stale = true;
   return true;
 }
--- a/src/packets/internal/agent_target.cc
+++ b/src/packets/internal/agent_target.cc
@@ -9,32 +9,32 @@
 namespace anvildrum::packets {
 namespace {
 
-// How long the process has run without a stall; 0 where it has not begun.
-auto RunsFor(const Agent& agent, base::TimePoint now) -> base::Duration {
+// Time since the start or the end of the last stall; 0 before the first event.
+auto RunTimeSinceStall(const Agent& agent, base::TimePoint now) -> base::Duration {
   const auto since = agent.stall.running_since;
   return since == base::TimePoint{} ? base::Duration{} : now - since;
 }
 
-// What balancers are told of the target.
+// The target's state as reported to balancers.
 //
-// Safeguard: an agent that ends may come back to a target that holds flows, and until it does no
-// flow of the service is reset. One whose target has left before it has none to come back to. Told
-// apart from the others only after seconds of silence, a service whose targets left one a second
-// had no flow reset for all that time, and clients of flows lost in a loss of power waited until
-// they gave up. So is one that was never heard of, which is not waited for as long as the others:
-// an agent that was stopped 1.2 s after all machines had lost power kept 3,000 packets of lost
-// flows from being reset for five seconds.
+// Safeguard: a stopping agent may return to a target that holds flows, and until then no flow of
+// the service is reset. An agent whose target has already left is reported as absent at once. If
+// balancers detected this only after seconds of silence, a service whose targets leave at one per
+// second would have no flow reset during that time, and clients of flows lost in a power loss would
+// wait until they give up. A target that has never been heard is also reported as absent, after a
+// shorter time-out: an agent that was stopped 1.2 s after all machines had lost power delayed the
+// resets for 3,000 packets of lost flows by five seconds.
 auto ReportedState(const Agent& agent, base::TimePoint now) -> TargetState {
   const auto never_heard = !WasHeard(agent.target) && !agent.target.doubtful && agent.stopping &&
-                           RunsFor(agent, now) > agent.policy.unheard_for;
+                           RunTimeSinceStall(agent, now) > agent.policy.never_heard_timeout;
   const auto has_left = never_heard || StateOf(agent, now) == TargetState::kAbsent;
   if (agent.stopping) return has_left ? TargetState::kAbsent : TargetState::kStopping;
   if (has_left && TakesPackets(agent, now)) return TargetState::kDraining;
   return StateOf(agent, now);
 }
 
-// When the heartbeat's sender may have started: it counts each, and waits a period for the next.
-// Counted twice as long, since one may be late.
+// The earliest time at which the heartbeat's sender may have started, as computed from its sequence
+// and the heartbeat period. The age is doubled, since heartbeats may be late.
 auto StartedAtEarliest(const Agent& agent, const Heartbeat& heartbeat, base::TimePoint now)
     -> base::TimePoint {
   constexpr auto most = std::uint64_t{1'000'000};  // a week, and no overflow
@@ -42,45 +42,45 @@
   return now - 2 * count * agent.policy.heartbeat_every;
 }
 
-// Flows of before are gone with the incarnation that held them.
-auto StartAnew(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> void {
+// Switches to the heartbeat's incarnation. Flows of the earlier incarnation are gone.
+auto BeginIncarnation(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> void {
   auto& target = agent.target;
   const auto& next = heartbeat.incarnation;
   const auto before = target.last.incarnation;
   if (WasHeard(target)) Retire(target, before);
-  if (IsFormerId(target, next.id)) target.again_at = now;
+  if (IsFormerId(target, next.id)) target.restarted_at = now;
   Reinstate(target, next);
-  if (WasHeard(target)) DoubtFlows(agent, StartedAtEarliest(agent, heartbeat, now));
+  if (WasHeard(target)) MarkFlowsUncertain(agent, StartedAtEarliest(agent, heartbeat, now));
 }
 
-// Whether the target has started since this process did: by its first heartbeat, or by their
-// number.
+// Whether the target started after this process, judged by the sequence of its heartbeat.
 auto SeenFromStart(const Agent& agent, const Heartbeat& heartbeat, base::TimePoint now) -> bool {
-  return now - RunsFor(agent, now) < StartedAtEarliest(agent, heartbeat, now);
+  return now - RunTimeSinceStall(agent, now) < StartedAtEarliest(agent, heartbeat, now);
 }
 
-// The target is gone. Its flows are kept in doubt: what told so may be about an earlier start.
-auto TakeForGone(Agent& agent, base::TimePoint left_at) -> void {
+// Marks the target as gone. Its flows are kept as uncertain, since the notice may concern an
+// earlier incarnation.
+auto MarkTargetGone(Agent& agent, base::TimePoint left_at) -> void {
   auto& target = agent.target;
   target.state = TargetState::kAbsent;
   target.left_at = left_at;
   target.seen_from_start = false;
   target.seen_from_first_heartbeat = false;
-  DoubtFlows(agent, {});
+  MarkFlowsUncertain(agent, {});
 }
 
 auto LeaveIsDoubtful(const Agent& agent, base::TimePoint now) -> bool {
-  const auto started = std::max(agent.started_at, agent.target.again_at);
-  return started != base::TimePoint{} && now - started < agent.policy.late_for;
+  const auto started = std::max(agent.started_at, agent.target.restarted_at);
+  return started != base::TimePoint{} && now - started < agent.policy.late_leave_window;
 }
 
 }  // namespace
 
 // An agent that has just started does not know its target yet, but the target may be alive and hold
-// flows: withheld until its first heartbeat, their packets would find nobody.
+// flows. If their packets were withheld until the first heartbeat, they would reach no target.
 auto TakesPackets(const Agent& agent, base::TimePoint now) -> bool {
   if (StateOf(agent, now) != TargetState::kAbsent) return true;
-  return now - agent.target.left_at < agent.policy.leave_for;
+  return now - agent.target.left_at < agent.policy.leave_grace;
 }
 
 auto StateOf(const Agent& agent, base::TimePoint now) -> TargetState {
@@ -92,33 +92,33 @@
   if (present && !silent) return target.state;
   if (target.state == TargetState::kAbsent) return target.state;
   if (present && !target.leave_doubtful) return TargetState::kUnknown;
-  // Not heard of, or not since a doubtful leave: counted while the process ran. What is not
-  // believed may still be a live target's.
+  // The target was never heard, or not since a doubtful leave. The silence counts only while the
+  // process ran. A doubtful heartbeat may still come from a live target.
   const auto said = target.doubtful && now - target.doubtful->heard <= agent.policy.silent_for;
-  const auto waited = !said && RunsFor(agent, now) > agent.policy.silent_for;
+  const auto waited = !said && RunTimeSinceStall(agent, now) > agent.policy.silent_for;
   return waited ? TargetState::kAbsent : TargetState::kUnknown;
 }
 
 auto TakeHeartbeat(Agent& agent, const Heartbeat& heartbeat, base::TimePoint now)
     -> HeartbeatOutcome {
   auto& target = agent.target;
-  const auto claim = ClaimOf(target, heartbeat);
-  const auto stale =
-      claim == Claim::kDoubtful && !GoesOn(target, heartbeat, agent.policy.proof_apart, now);
+  const auto claim = ClassifyHeartbeat(target, heartbeat);
+  const auto stale = claim == HeartbeatClass::kDoubtful &&
+                     !ConfirmHeartbeat(target, heartbeat, agent.policy.confirmation_interval, now);
   const auto other = heartbeat.service != agent.service;
   if (stale || other) {
     ++agent.counters.late_heartbeats;
     return stale ? HeartbeatOutcome::kStale : HeartbeatOutcome::kOtherService;
   }
-  const auto first = !WasHeard(target) || claim != Claim::kCurrent;
+  const auto first = !WasHeard(target) || claim != HeartbeatClass::kCurrent;
   if (first) {
     target.seen_from_start = SeenFromStart(agent, heartbeat, now);
     target.seen_from_first_heartbeat = heartbeat.sequence <= 1;
   }
   const auto went_on = target.refused && heartbeat.incarnation == target.last.incarnation;
-  if (went_on) target.refusals_mislead = true;
+  if (went_on) target.ignore_refusals = true;
   target.refused = false;
-  if (claim != Claim::kCurrent) StartAnew(agent, heartbeat, now);
+  if (claim != HeartbeatClass::kCurrent) BeginIncarnation(agent, heartbeat, now);
   const auto before = StateOf(agent, now);
   target.state = heartbeat.draining ? TargetState::kDraining : TargetState::kReady;
   target.last = heartbeat;
@@ -126,7 +126,7 @@
   target.doubtful.reset();
   target.leave_doubtful = false;
   target.cold_doubtful = false;
-  const auto changed = claim != Claim::kCurrent || target.state != before;
+  const auto changed = claim != HeartbeatClass::kCurrent || target.state != before;
   return changed ? HeartbeatOutcome::kChanged : HeartbeatOutcome::kUnchanged;
 }
 
@@ -143,12 +143,12 @@
   }
   Retire(target, known ? target.last.incarnation : Incarnation{id, std::nullopt});
   if (!WasHeard(target) && LeaveIsDoubtful(agent, now)) {
-    target.leave_doubtful = true;  // silent from its start on, it has left by StateOf
+    target.leave_doubtful = true;  // if no heartbeat follows, StateOf reports it as absent
     return true;
   }
   if (target.state != TargetState::kUnknown && !known) return false;
   if (target.state == TargetState::kAbsent) return false;
-  TakeForGone(agent, now);
+  MarkTargetGone(agent, now);
   return true;
 }
 
@@ -156,21 +156,21 @@
   auto& target = agent.target;
   const auto heard_since = WasHeard(target) && target.heard >= attempted_at;
   if (heard_since || target.state == TargetState::kDraining) return false;
-  if (target.state == TargetState::kAbsent || target.refusals_mislead) return false;
+  if (target.state == TargetState::kAbsent || target.ignore_refusals) return false;
   target.refused = WasHeard(target);
   if (WasHeard(target)) Retire(target, target.last.incarnation);
-  TakeForGone(agent, now - agent.policy.leave_for);
+  MarkTargetGone(agent, now - agent.policy.leave_grace);
   return true;
 }
 
 auto ChangeService(Agent& agent, base::ServiceId service, base::TimePoint now) -> void {
   agent.service = service;
   agent.target = {};
-  agent.target.again_at = now;  // what the earlier service's target says may come late
+  agent.target.restarted_at = now;  // messages of the earlier service's target may arrive late
   agent.balancers.clear();
   agent.wanted.reset();
   ForgetFlows(agent);
-  UnitePeers(agent, now);
+  MergePeers(agent, now);
 }
 
 auto IsCold(const Agent& agent, base::TimePoint now) -> bool {
@@ -179,7 +179,7 @@
 }
 
 auto MakeReport(Agent& agent, Address balancer, base::TimePoint now) -> TargetReport {
-  NoteEvent(agent.stall, now);  // a process that wakes must not take its own pause for silence
+  NoteEvent(agent.stall, now);  // after a stall, the pause must not count as silence
   ExpireOffers(agent, now);
   const auto& target = agent.target;
   const auto asks = agent.wanted && agent.wanted->balancer == balancer;
--- a/src/packets/internal/cold.cc
+++ b/src/packets/internal/cold.cc
@@ -5,7 +5,8 @@
 namespace anvildrum::packets {
 namespace {
 
-// Openings at once, beside the rate: a quarter of a second's, and two of a service that bears few.
+// The burst on top of the rate is a quarter of the openings per second plus two, so that services
+// with a low rate get a usable burst.
 constexpr auto kBurstShare = 4U;
 constexpr auto kLeastBurst = 2U;
 
@@ -15,13 +16,14 @@
 
 }  // namespace
 
-auto MayGiveCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+auto MayAdmitCold(const ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
     -> bool {
   const auto burst = per_second / kBurstShare + kLeastBurst;
   return allowance.used_until - now <= (burst - 1) * Interval(per_second);
 }
 
-auto CountCold(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now) -> void {
+auto CountColdOpening(ColdAllowance& allowance, std::uint32_t per_second, base::TimePoint now)
+    -> void {
   allowance.used_until = std::max(allowance.used_until, now) + Interval(per_second);
 }
 
--- a/src/packets/internal/flow_load.cc
+++ b/src/packets/internal/flow_load.cc
@@ -6,14 +6,14 @@
 namespace anvildrum::packets {
 namespace {
 
-// Whether the flow is no load, and remembered for its client's last packets alone.
+// Whether the flow causes no load and is kept only to recognize its client's last packets.
 auto IsOver(const FlowState& flow) -> bool {
-  return flow.stage == FlowStage::kEnded || flow.stage == FlowStage::kNotHere;
+  return flow.stage == FlowStage::kEnded || flow.stage == FlowStage::kNotHeld;
 }
 
-// The target has sent its last data. What the client repeats until it has closed the flow too is
-// told from new work by this state, and so is its last acknowledgement, which the target gives
-// back.
+// Records that the target has sent its last data. The state tells new requests from packets that
+// the client retransmits until it closes the flow, and from its final acknowledgement, which the
+// target returns.
 auto EndFlow(Agent& agent, FlowState& flow) -> void {
   SetAtWork(agent, flow, false);
   if (!IsOver(flow)) ++agent.ended;
@@ -22,16 +22,16 @@
 
 // Whether the packet carries data that has not been delivered before.
 //
-// Safeguard: a client sends a request again whose answer is late or lost, and the copy comes when
-// the answer has been given. The target acknowledges it without data. Counted as work that is never
-// done, six of them closed a target of three slots for 16 s while it was idle.
+// Safeguard: a client retransmits a request whose answer is late or lost, and the copy may arrive
+// after the answer was sent. The target acknowledges it without data, so it would count as load
+// without end: six such copies blocked an idle target of three slots for 16 s.
 auto IsNewData(const FlowState& flow, const Packet& packet) -> bool {
   if (packet.payload == 0 || flow.stage == FlowStage::kEnded) return false;
   const auto end = packet.sequence + packet.payload;
-  return !flow.asked_up_to || static_cast<std::int32_t>(end - *flow.asked_up_to) > 0;
+  return !flow.request_end || static_cast<std::int32_t>(end - *flow.request_end) > 0;
 }
 
-// How long the request took that the packet begins the answer to.
+// Returns the service time of the request in progress and marks it as answered.
 auto TakeAnswer(Agent& agent, FlowState& flow, base::TimePoint now)
     -> std::optional<base::Duration> {
   if (flow.asked_at == base::TimePoint{}) return std::nullopt;
@@ -39,11 +39,11 @@
   return now - std::exchange(flow.asked_at, {});
 }
 
-// Openings a second for a cold target whose service's rate no balancer has told yet. Each service
-// that states one bears more.
-constexpr auto kColdBeforeTold = std::uint32_t{4};
+// Openings per second for a cold target until a balancer reports the rate of its service. It is
+// lower than the rate of any service that has one configured.
+constexpr auto kDefaultColdRate = std::uint32_t{4};
 
-// No flow is load.
+// Resets all load counters.
 auto ClearLoad(Agent& agent) -> void {
   agent.overflowed = false;
   agent.offered.clear();
@@ -52,47 +52,48 @@
   agent.ended = 0;
 }
 
-auto IdleOf(const AgentPolicy& policy, FlowStage stage) -> base::Duration {
+auto IdleTimeoutOf(const AgentPolicy& policy, FlowStage stage) -> base::Duration {
   switch (stage) {
     case FlowStage::kOpen:
       return policy.flow_age;
     case FlowStage::kEnded:
-    case FlowStage::kNotHere:
+    case FlowStage::kNotHeld:
       return policy.ended_idle;
     default:
       return policy.flow_idle;
   }
 }
 
-// Safeguard: after all agents were started again, each packet was taken for work that its target
-// had begun; where what a target gave back was lost, such requests took up all places, and openings
-// were refused while targets stood idle.
+// Safeguard: after a restart of all agents, each packet counts as load of its target. If packets
+// that a target returned are lost, such requests take up all capacity, and openings are refused
+// while targets are idle.
 //
-// Safeguard: a client gives up before all of its request has come. The target acknowledges the part
-// and waits, with its slots free. Counted as work for as long as the flow may be idle, such
-// requests closed an idle target.
-auto IsWorkNoLonger(const Agent& agent, const FlowState& flow, base::TimePoint now) -> bool {
+// Safeguard: a client may give up before its whole request has arrived. The target acknowledges the
+// part and waits, with its slots free. If such requests counted as load until the flow's idle
+// time-out, they would block an idle target.
+auto IsWorkAbandoned(const Agent& agent, const FlowState& flow, base::TimePoint now) -> bool {
   const auto& policy = agent.policy;
   const auto quiet_for = now - flow.seen;
   const auto assumed = flow.stage == FlowStage::kAssumed;
-  if (quiet_for > (assumed ? policy.reaction_for : policy.flow_idle)) return true;
-  const auto overtaken = agent.answered - flow.seen > policy.overtaken_for;
-  return quiet_for > policy.overtaken_for && overtaken;
+  if (quiet_for > (assumed ? policy.reaction_timeout : policy.flow_idle)) return true;
+  const auto overtaken = agent.answered - flow.seen > policy.overtaken_timeout;
+  return quiet_for > policy.overtaken_timeout && overtaken;
 }
 
-// Whether places are taken up by requests that may be none, and one more is let in to find out.
-auto MayTry(Agent& agent, double limit, base::TimePoint now) -> bool {
+// Whether to admit a trial opening because silent requests, which may be abandoned, take up the
+// capacity.
+auto MayAdmitTrial(Agent& agent, double limit, base::TimePoint now) -> bool {
   const auto busy = agent.at_work - std::min(agent.quiet_work, agent.at_work);
   if (agent.quiet_work == 0 || busy >= limit) return false;
-  if (now - agent.tried_at < agent.policy.trial_every) return false;
-  agent.tried_at = now;
+  if (now - agent.trial_at < agent.policy.trial_interval) return false;
+  agent.trial_at = now;
   return true;
 }
 
 }  // namespace
 
 auto ColdLimit(const Agent& agent, base::TimePoint now) -> std::uint32_t {
-  return IsCold(agent, now) ? agent.cold_per_second.value_or(kColdBeforeTold) : 0;
+  return IsCold(agent, now) ? agent.cold_per_second.value_or(kDefaultColdRate) : 0;
 }
 
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void {
@@ -109,14 +110,13 @@
   agent.flows.erase(entry);
 }
 
-// Safeguard: an opening is answered by two targets, or its client is gone; the target that the
-// client did not go on with holds it half open for seconds. Counted as load, such flows filled the
-// limit of targets that were idle: in a rush of copies 0.7 of the openings were refused while half
-// of the slots were free.
+// Safeguard: if two targets answer an opening, or its client is gone, a target holds the flow half
+// open for seconds. Counted as load, such flows fill the limit of idle targets: during a burst of
+// copies, 0.7 of the openings were refused while half of the slots were free.
 auto ExpireOffers(Agent& agent, base::TimePoint now) -> void {
   while (!agent.offered.empty()) {
     const auto& oldest = agent.offered.front();
-    if (now - oldest.at < agent.policy.opening_for) return;
+    if (now - oldest.at < agent.policy.offer_timeout) return;
     const auto entry = agent.flows.find(oldest.flow);
     const auto waits = entry != agent.flows.end() && (entry->second.stage == FlowStage::kOffered ||
                                                       entry->second.stage == FlowStage::kAnswered);
@@ -125,35 +125,35 @@
   }
 }
 
-// Safeguard: when more comes than the targets can work on, a queue at the target delays everybody:
-// after an outage all requests of some seconds were answered, and all of them late. An opening that
-// finds no place in time goes to a target that has one, or is refused at once.
-auto HasPlace(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
+// Safeguard: under overload, a queue at the target delays all requests: after an outage, all
+// requests of several seconds were answered, but too late. An opening that cannot be served in time
+// goes to a target with capacity or is refused at once.
+auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool {
   const auto cold_limit = ColdLimit(agent, now);
-  if (cold_limit != 0 && !MayGiveCold(agent.target.cold_allowance, cold_limit, now)) {
+  if (cold_limit != 0 && !MayAdmitCold(agent.target.cold_allowance, cold_limit, now)) {
     ++agent.counters.over_cold;
     return false;
   }
   const auto first = packet.acknowledged == 0;
   const auto limit = first ? agent.policy.opening_limit : agent.policy.copy_limit;
   const auto slots = std::max<std::uint32_t>(agent.target.last.slots, 1);
-  return agent.at_work < limit * slots || (first && MayTry(agent, limit * slots, now));
+  return agent.at_work < limit * slots || (first && MayAdmitTrial(agent, limit * slots, now));
 }
 
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void {
   const auto flow = FlowFromClient(packet);
   const auto cold_limit = IsOpening(packet) ? ColdLimit(agent, now) : 0;
-  if (cold_limit != 0) CountCold(agent.target.cold_allowance, cold_limit, now);
+  if (cold_limit != 0) CountColdOpening(agent.target.cold_allowance, cold_limit, now);
   if (packet.reset) return Erase(agent, flow);
   auto entry = agent.flows.find(flow);
-  if (entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHere) {
+  if (entry != agent.flows.end() && entry->second.stage == FlowStage::kNotHeld) {
     Erase(agent, flow);
     entry = agent.flows.end();
   }
   if (entry == agent.flows.end()) {
     const auto empty = !IsOpening(packet) && packet.payload == 0;
     if (empty) return;
-    if (agent.flows.size() >= agent.policy.most_flows) {
+    if (agent.flows.size() >= agent.policy.max_flows) {
       agent.overflowed = true;
       return;
     }
@@ -169,7 +169,7 @@
   if (IsNewData(entry->second, packet)) {
     SetAtWork(agent, entry->second, true);
     entry->second.asked_at = now;
-    entry->second.asked_up_to = packet.sequence + packet.payload;
+    entry->second.request_end = packet.sequence + packet.payload;
   }
   entry->second.seen = now;
   entry->second.origin = packet.stamp.origin;
@@ -179,7 +179,7 @@
     -> std::optional<base::Duration> {
   auto entry = agent.flows.find(FlowFromTarget(packet));
   if (entry == agent.flows.end()) {
-    if (packet.payload == 0 || agent.flows.size() >= agent.policy.most_flows) return std::nullopt;
+    if (packet.payload == 0 || agent.flows.size() >= agent.policy.max_flows) return std::nullopt;
     entry = agent.flows.emplace(FlowFromTarget(packet), FlowState{.stage = FlowStage::kOpen}).first;
   }
   auto& flow = entry->second;
@@ -192,8 +192,8 @@
     flow.stage = FlowStage::kAnswered;
     flow.target_sequence = packet.sequence;
   }
-  // The target holds the flow; whether it works on it is not known, since a request that it has
-  // answered before, and a part of one, are acknowledged alike.
+  // The target holds the flow. Whether it processes a request is unknown, since it acknowledges a
+  // retransmitted request and a part of a request in the same way.
   if (!packet.synchronize && flow.stage == FlowStage::kAssumed) {
     flow.stage = FlowStage::kOpen;
     SetAtWork(agent, flow, false);
@@ -204,11 +204,11 @@
   return answered;
 }
 
-auto MarkNotHere(Agent& agent, const FlowId& id, base::TimePoint now) -> void {
+auto MarkNotHeld(Agent& agent, const FlowId& id, base::TimePoint now) -> void {
   Erase(agent, id);
-  if (agent.flows.size() >= agent.policy.most_flows) return;
+  if (agent.flows.size() >= agent.policy.max_flows) return;
   auto& flow = agent.flows[id];
-  flow.stage = FlowStage::kNotHere;
+  flow.stage = FlowStage::kNotHeld;
   flow.seen = now;
   ++agent.ended;
 }
@@ -233,7 +233,7 @@
   return summary;
 }
 
-auto DoubtFlows(Agent& agent, base::TimePoint started) -> void {
+auto MarkFlowsUncertain(Agent& agent, base::TimePoint started) -> void {
   std::erase_if(agent.flows, [&](const auto& entry) { return entry.second.seen < started; });
   for (auto& [flow, state] : agent.flows) {
     auto doubtful = FlowState{};
@@ -250,18 +250,18 @@
   ClearLoad(agent);
 }
 
-auto ForgetQuiet(Agent& agent, base::TimePoint now) -> void {
+auto DropIdleState(Agent& agent, base::TimePoint now) -> void {
   auto quiet = std::vector<FlowId>{};
   agent.quiet_work = 0;
   for (auto& [flow, state] : agent.flows) {
-    if (state.at_work && IsWorkNoLonger(agent, state, now)) SetAtWork(agent, state, false);
-    if (state.at_work && now - state.seen > agent.policy.overtaken_for) ++agent.quiet_work;
-    if (now - state.seen > IdleOf(agent.policy, state.stage)) quiet.push_back(flow);
+    if (state.at_work && IsWorkAbandoned(agent, state, now)) SetAtWork(agent, state, false);
+    if (state.at_work && now - state.seen > agent.policy.overtaken_timeout) ++agent.quiet_work;
+    if (now - state.seen > IdleTimeoutOf(agent.policy, state.stage)) quiet.push_back(flow);
   }
   for (const auto& flow : quiet) Erase(agent, flow);
   std::erase_if(agent.balancers, [&](const auto& entry) {
     const auto& hello = entry.second;
-    return now - hello.at > std::max(agent.policy.balancer_for, kReportsMissed * hello.every);
+    return now - hello.at > std::max(agent.policy.balancer_timeout, kReportsMissed * hello.every);
   });
 }
 
--- a/src/packets/internal/flow_load.h
+++ b/src/packets/internal/flow_load.h
@@ -6,27 +6,28 @@
 
 namespace anvildrum::packets {
 
-/// Work that flows put on the agent's target, as far as their packets tell.
+/// The load that flows put on the agent's target, as derived from their packets.
 
-/// Whether the target has a place for the opening.
-auto HasPlace(Agent& agent, const Packet& packet, base::TimePoint now) -> bool;
+/// Whether the target has capacity for the opening.
+auto HasCapacity(Agent& agent, const Packet& packet, base::TimePoint now) -> bool;
 
 /// Counts a packet that is delivered to the target.
 auto CountFromClient(Agent& agent, const Packet& packet, base::TimePoint now) -> void;
 
-/// Counts a packet that the target sent. How long it worked, where this begins an answer.
+/// Counts a packet that the target sent. Returns the service time of the request if the packet is
+/// the first data of its answer.
 auto CountFromTarget(Agent& agent, const Packet& packet, base::TimePoint now)
     -> std::optional<base::Duration>;
 
-/// Openings that nobody has gone on with for AgentPolicy::opening_for are no work any more.
+/// Stops counting openings as load whose client has not continued for AgentPolicy::offer_timeout.
 auto ExpireOffers(Agent& agent, base::TimePoint now) -> void;
 
 auto SetAtWork(Agent& agent, FlowState& flow, bool at_work) -> void;
 
-/// The target gave a packet of the flow back: it does not hold it.
-auto MarkNotHere(Agent& agent, const FlowId& id, base::TimePoint now) -> void;
+/// Records that the target returned a packet of the flow and thus does not hold it.
+auto MarkNotHeld(Agent& agent, const FlowId& id, base::TimePoint now) -> void;
 
-/// Drops the flow's state.
+/// Drops the flow's state and its load.
 auto Erase(Agent& agent, const FlowId& flow) -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/incarnations.cc
+++ b/src/packets/internal/incarnations.cc
@@ -18,22 +18,24 @@
 
 auto WasHeard(const LocalTarget& target) -> bool { return target.heard != base::TimePoint{}; }
 
-auto ClaimOf(const LocalTarget& target, const Heartbeat& heartbeat) -> Claim {
-  if (IsRetired(target, heartbeat.incarnation)) return Claim::kDoubtful;
-  if (!WasHeard(target)) return Claim::kNext;
+auto ClassifyHeartbeat(const LocalTarget& target, const Heartbeat& heartbeat) -> HeartbeatClass {
+  if (IsRetired(target, heartbeat.incarnation)) return HeartbeatClass::kDoubtful;
+  if (!WasHeard(target)) return HeartbeatClass::kNext;
   const auto& before = target.last.incarnation;
   const auto& after = heartbeat.incarnation;
   if (before == after) {
-    return heartbeat.sequence > target.last.sequence ? Claim::kCurrent : Claim::kDoubtful;
+    return heartbeat.sequence > target.last.sequence ? HeartbeatClass::kCurrent
+                                                     : HeartbeatClass::kDoubtful;
   }
   if (before.started_ms && after.started_ms) {
-    return *after.started_ms > *before.started_ms ? Claim::kNext : Claim::kDoubtful;
+    return *after.started_ms > *before.started_ms ? HeartbeatClass::kNext
+                                                  : HeartbeatClass::kDoubtful;
   }
-  return before.id == after.id ? Claim::kDoubtful : Claim::kNext;
+  return before.id == after.id ? HeartbeatClass::kDoubtful : HeartbeatClass::kNext;
 }
 
-auto GoesOn(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
-            base::TimePoint now) -> bool {
+auto ConfirmHeartbeat(LocalTarget& target, const Heartbeat& heartbeat, base::Duration apart,
+                      base::TimePoint now) -> bool {
   auto& first = target.doubtful;
   if (first && first->incarnation == heartbeat.incarnation &&
       heartbeat.sequence > first->sequence) {
@@ -46,7 +48,7 @@
 auto Retire(LocalTarget& target, const Incarnation& incarnation) -> void {
   if (IsRetired(target, incarnation)) return;
   target.retired.push_back(incarnation);
-  if (target.retired.size() > kMostRetired) target.retired.pop_front();
+  if (target.retired.size() > kMaxRetired) target.retired.pop_front();
 }
 
 auto IsFormerId(const LocalTarget& target, std::uint64_t id) -> bool {
--- a/src/packets/tests/agent_incarnation_test.cc
+++ b/src/packets/tests/agent_incarnation_test.cc
@@ -121,7 +121,7 @@
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
   BOOST_TEST(TakeLeave(agent, kId, kStart));
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((StateAt(agent, later) == TargetState::kDraining));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), later)));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
@@ -149,10 +149,10 @@
 BOOST_AUTO_TEST_CASE(a_leave_long_after_the_start_is_believed_at_once) {
   auto agent = MakeAgentOfFirstStart();
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 1), kStart);
-  const auto later = kStart + agent.policy.late_for;
+  const auto later = kStart + agent.policy.late_leave_window;
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kSecondStart, 2, true), later);
   BOOST_TEST(TakeLeave(agent, kId, later));
-  BOOST_TEST((StateAt(agent, later + agent.policy.leave_for) == TargetState::kAbsent));
+  BOOST_TEST((StateAt(agent, later + agent.policy.leave_grace) == TargetState::kAbsent));
 }
 
 // All agents are killed. The first message that one of them receives after its restart is the leave
@@ -166,7 +166,7 @@
   NoteEvent(agent.stall, kStart);
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), kStart);
   TakeLeave(agent, kId, kStart);
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((StateAt(agent, later) == TargetState::kUnknown));
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), later)));
   TakeHeartbeat(agent, MakeHeartbeatWithStart(kId + 1, kSecondStart, 9), later);
@@ -182,7 +182,7 @@
   heartbeat.service = kMapper;
   TakeHeartbeat(agent, heartbeat, kStart);
   TakeLeave(agent, kId, kStart);
-  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kDraining));
+  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_grace) == TargetState::kDraining));
 }
 
 // The instance's clock was set back between two starts, so the later start reports the earlier
@@ -210,7 +210,7 @@
         TakeHeartbeat(agent, MakeHeartbeatWithStart(kId, kFirstStart, sequence), at);
     BOOST_TEST((outcome == HeartbeatOutcome::kStale));
   }
-  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_for) == TargetState::kAbsent));
+  BOOST_TEST((StateAt(agent, kStart + agent.policy.leave_grace) == TargetState::kAbsent));
 }
 
 // Two senders use one id. The one that started last is accepted as the target. The other's
@@ -267,7 +267,7 @@
     TakeHeartbeat(agent, MakeHeartbeatWithStart(start % 7, kFirstStart + start, 1), kStart);
     TakeLeave(agent, 1'000 + start, kStart);
   }
-  BOOST_TEST(agent.target.retired.size() <= kMostRetired);
+  BOOST_TEST(agent.target.retired.size() <= kMaxRetired);
 }
 
 }  // namespace
--- a/src/packets/tests/agent_peers_test.cc
+++ b/src/packets/tests/agent_peers_test.cc
@@ -23,7 +23,7 @@
 // changed for a while.
 BOOST_AUTO_TEST_CASE(an_agent_knows_what_its_target_does_not_hold) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.token == 7U);
   BOOST_TEST(answer.unsure.empty());
@@ -38,14 +38,14 @@
 BOOST_AUTO_TEST_CASE(a_query_that_waited_proves_nothing) {
   auto agent = MakeAgent();
   NoteEvent(agent.stall, kStart);
-  BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + agent.policy.settle_for).settled);
+  BOOST_TEST(!AnswerQuery(agent, QueryOf(1), kStart + agent.policy.settling_time).settled);
 }
 
 // The agent whose target holds the flow is restarting, or a balancer has not heard of it yet. The
 // query did not reach that agent, and a reset would break the flow.
 BOOST_AUTO_TEST_CASE(nothing_is_proved_while_an_agent_may_be_missing) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   BOOST_TEST(!IsSettled(agent, kStart));
   BOOST_TEST(IsSettled(agent, settled));
   DeliverHello(agent, kBalancer + 1, MakeHello({kOwn, kOther}, false), settled);
@@ -58,20 +58,21 @@
 BOOST_AUTO_TEST_CASE(the_peer_list_stays_settled_when_an_agent_leaves_but_not_when_one_joins) {
   auto agent = MakeAgent();
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 1}), kStart);
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}), settled);
   BOOST_TEST(IsSettled(agent, settled));
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther, kOther + 2}), settled);
   BOOST_TEST(!IsSettled(agent, settled));
   // An agent that replaces one of two counts as one that joins.
-  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther + 3}), settled + agent.policy.settle_for);
-  BOOST_TEST(!IsSettled(agent, settled + agent.policy.settle_for));
+  DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther + 3}),
+               settled + agent.policy.settling_time);
+  BOOST_TEST(!IsSettled(agent, settled + agent.policy.settling_time));
 }
 
 // A hello with another list has arrived, and the query follows before the agent's next check.
 BOOST_AUTO_TEST_CASE(a_question_between_checks_counts_the_hellos_that_have_come) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   TakeHello(agent, kBalancer, MakeHello({kOwn}), settled);
   BOOST_TEST(agent.peers_stale);
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
@@ -90,7 +91,7 @@
   auto hello = MakeHello({kOwn, kOther});
   hello.every = seconds{2};
   DeliverHello(agent, kBalancer, hello, kStart);
-  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settling_time));
   BOOST_TEST(IsSettled(agent, kStart + milliseconds{500}));
   BOOST_TEST(IsSettled(agent, kStart + seconds{8}));  // a hello counts for four of its periods
   BOOST_TEST(!IsSettled(agent, kStart + seconds{8} + milliseconds{1}));
@@ -99,7 +100,7 @@
 BOOST_AUTO_TEST_CASE(an_agent_that_is_not_among_those_it_is_told_of_proves_nothing) {
   auto agent = MakeAgent();
   DeliverHello(agent, kBalancer, MakeHello({kOther, kOther + 1}, true), kStart);
-  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settling_time));
 }
 
 // One balancer knows an agent that the querying one does not. The digests of their lists differ, so
@@ -107,7 +108,7 @@
 BOOST_AUTO_TEST_CASE(an_agent_that_one_balancer_knows_counts_for_all) {
   auto agent = MakeAgent();
   DeliverHello(agent, kBalancer + 1, MakeHello({kOther + 5}, true), kStart);
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   const auto answer = AnswerQuery(agent, QueryOf(1), settled);
   BOOST_TEST(answer.peers_digest == MakeHello({kOwn, kOther, kOther + 5}).digest);
 }
@@ -177,7 +178,7 @@
 // A flood of forged flows filled the agent's flow table, so later flows are not recorded.
 BOOST_AUTO_TEST_CASE(an_agent_whose_table_was_full_does_not_know_its_targets_flows) {
   auto agent = MakeAgent();
-  agent.policy.most_flows = 1;
+  agent.policy.max_flows = 1;
   FromPeer(agent, OpeningOf(1, 0), kStart);
   BOOST_TEST(AnswerQuery(agent, QueryOf(2), kStart).unsure.empty());
   FromPeer(agent, OpeningOf(2, 0), kStart);
@@ -224,28 +225,28 @@
 BOOST_AUTO_TEST_CASE(a_target_that_left_holds_nothing) {
   auto agent = MakeAgent();
   FromTarget(agent, Reply(1000), kStart);
-  const auto left = kStart + agent.policy.late_for;
+  const auto left = kStart + agent.policy.late_leave_window;
   TakeLeave(agent, 1, left);
   BOOST_TEST(!AnswerQuery(agent, QueryOf(kClient.port), left).unsure.empty());
-  const auto gone = left + agent.policy.leave_for;
+  const auto gone = left + agent.policy.leave_grace;
   const auto answer = AnswerQuery(agent, QueryOf(kClient.port), gone);
   BOOST_TEST(answer.unsure.empty());
   BOOST_TEST(answer.held.empty());
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), gone)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), gone)).by_target);
 }
 
 // Many balancers send different lists at once. The agent keeps its previous list until its next
 // check, and it proves no flow lost in between.
 BOOST_AUTO_TEST_CASE(hellos_count_together_at_the_next_check) {
   auto agent = MakeAgent();
-  const auto settled = kStart + agent.policy.settle_for;
+  const auto settled = kStart + agent.policy.settling_time;
   BOOST_TEST(IsSettled(agent, settled));
   TakeHello(agent, kBalancer + 1, MakeHello({kOwn, kOther, kOther + 1}), settled);
   BOOST_TEST(agent.peers.size() == 2U);
   BOOST_TEST(!IsSettled(agent, settled));
   RefreshPeers(agent, settled);
   BOOST_TEST(agent.peers.size() == 3U);
-  BOOST_TEST(IsSettled(agent, settled + agent.policy.settle_for));
+  BOOST_TEST(IsSettled(agent, settled + agent.policy.settling_time));
 }
 
 // A balancer sends the list once and afterwards only its digest. An agent that restarted or missed
@@ -279,7 +280,7 @@
     if (wanted == next.digest) asked.push_back(kBalancer + i);
   }
   BOOST_TEST(asked.size() == 1U);
-  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settle_for));
+  BOOST_TEST(!IsSettled(agent, kStart + agent.policy.settling_time));
   DeliverHello(agent, asked.front(), next, kStart);
   for (const auto& [balancer, known] : agent.balancers) BOOST_TEST(known.digest == next.digest);
   BOOST_TEST(agent.peers.size() == 3U);
@@ -293,10 +294,10 @@
   auto agent = MakeAgent();
   const auto brief = Hello{kDesk, {}, true, false, 4711};
   DeliverHello(agent, kBalancer, brief, kStart);
-  const auto soon = kStart + agent.policy.list_within / 2;
+  const auto soon = kStart + agent.policy.list_request_timeout / 2;
   DeliverHello(agent, kBalancer + 1, brief, soon);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, soon).wanted_list == 0U);
-  const auto later = kStart + agent.policy.list_within;
+  const auto later = kStart + agent.policy.list_request_timeout;
   DeliverHello(agent, kBalancer + 1, brief, later);
   BOOST_TEST(MakeReport(agent, kBalancer + 1, later).wanted_list == brief.digest);
 }
@@ -339,9 +340,9 @@
       auto agent = MakeAgent();
       agent.own = own;
       DeliverHello(agent, kBalancer, MakeHello(all), kStart);
-      keepers += KeepsConfiguration(agent) ? 1 : 0;
+      keepers += HoldsConfigurationCopy(agent) ? 1 : 0;
     }
-    BOOST_TEST(keepers == std::min<std::size_t>(count, kKeepers));
+    BOOST_TEST(keepers == std::min<std::size_t>(count, kConfigurationCopies));
   }
 }
 
@@ -360,8 +361,8 @@
   const auto silent = SilentBalancers(agent, 8, later);
   BOOST_TEST(silent.size() == 8U);
   BOOST_TEST(silent.front() == kBalancer + 18);
-  const auto gone = later + agent.policy.balancer_for + milliseconds{1};
-  ForgetQuiet(agent, gone);
+  const auto gone = later + agent.policy.balancer_timeout + milliseconds{1};
+  DropIdleState(agent, gone);
   BOOST_TEST(SilentBalancers(agent, 8, gone).empty());
 }
 
--- a/src/packets/tests/agent_target_test.cc
+++ b/src/packets/tests/agent_target_test.cc
@@ -59,7 +59,7 @@
     agent.stall = {.active_at = now, .running_since = kStart};
     return MakeReport(agent, kBalancer, now).state;
   };
-  const auto heard_by = kStart + agent.policy.unheard_for;
+  const auto heard_by = kStart + agent.policy.never_heard_timeout;
   BOOST_TEST((report(heard_by) == TargetState::kStopping));
   BOOST_TEST((report(heard_by + milliseconds{1}) == TargetState::kAbsent));
   TakeHeartbeat(agent, MakeHeartbeat(1, 1), heard_by);
@@ -79,7 +79,7 @@
   const auto heard = kStart + milliseconds{700};
   BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 4), heard) == HeartbeatOutcome::kStale));
   agent.stopping = true;
-  const auto stops = kStart + agent.policy.unheard_for + milliseconds{1};
+  const auto stops = kStart + agent.policy.never_heard_timeout + milliseconds{1};
   agent.stall.active_at = stops;
   BOOST_TEST((MakeReport(agent, kBalancer, stops).state == TargetState::kStopping));
   agent.stopping = false;
@@ -111,7 +111,7 @@
   agent.stall.running_since = heard_by;  // the agent ran without a pause since then
   BOOST_TEST((report(later) == TargetState::kAbsent));
   DeliverHello(agent, kBalancer, MakeHello({kOwn, kOther}, true), later);
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), later)).by_target);
   TakeHeartbeat(agent, MakeHeartbeat(1, 1), later);
   BOOST_TEST((report(later) == TargetState::kReady));
 }
@@ -122,8 +122,8 @@
   TakeLeave(agent, 1, kStart);
   BOOST_TEST(std::holds_alternative<DeliverToTarget>(FromPeer(agent, Data(), kStart)));
   BOOST_TEST((MakeReport(agent, kBalancer, kStart).state == TargetState::kDraining));
-  const auto later = kStart + agent.policy.leave_for;
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), later)).by_target);
+  const auto later = kStart + agent.policy.leave_grace;
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), later)).by_target);
 }
 
 // A network partition delayed a heartbeat of a target that then crashed, and its successor has sent
@@ -149,7 +149,7 @@
   auto agent = MakeAgent();
   BOOST_TEST(TakeLeave(agent, 1, kStart));
   BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 9), kStart) == HeartbeatOutcome::kStale));
-  const auto later = kStart + agent.policy.leave_for;
+  const auto later = kStart + agent.policy.leave_grace;
   BOOST_TEST((MakeReport(agent, kBalancer, later).state == TargetState::kAbsent));
 }
 
@@ -195,7 +195,7 @@
   BOOST_TEST(!TakeRefusal(agent, crashed, crashed));  // no change of state
   BOOST_TEST((MakeReport(agent, kBalancer, crashed).state == TargetState::kAbsent));
   BOOST_TEST(std::holds_alternative<ForwardToAgent>(FromPeer(agent, Opening(), crashed)));
-  BOOST_TEST(std::get<GiveBack>(FromPeer(agent, Data(), crashed)).by_target);
+  BOOST_TEST(std::get<ReturnToBalancer>(FromPeer(agent, Data(), crashed)).by_target);
   BOOST_TEST(MakeReport(agent, kBalancer, crashed).in_flight == 0U);
   TakeHeartbeat(agent, MakeHeartbeat(2, 1), crashed + seconds{1});
   BOOST_TEST((StateOf(agent, crashed + seconds{1}) == TargetState::kReady));
@@ -234,7 +234,7 @@
   const auto refused = kStart + milliseconds{100};
   TakeRefusal(agent, refused, refused);
   TakeHeartbeat(agent, MakeHeartbeat(1, 2), refused + milliseconds{10});
-  const auto later = refused + milliseconds{10} + agent.policy.proof_apart;
+  const auto later = refused + milliseconds{10} + agent.policy.confirmation_interval;
   BOOST_TEST((TakeHeartbeat(agent, MakeHeartbeat(1, 3), later) == HeartbeatOutcome::kChanged));
   BOOST_TEST(!TakeRefusal(agent, later + milliseconds{1}, later + milliseconds{1}));
   const auto query = FlowQuery{kDesk, 1, {{kClient, kRoute}}};
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -65,7 +65,7 @@
       TakeReport(this->balancer.view, MakeReport(agent, kBalancer, this->now), this->now);
     }
     this->SayHello();
-    this->now += agents.front().policy.settle_for;
+    this->now += agents.front().policy.settling_time;
     this->balancer.records_at = this->now;
     for (auto& agent : this->agents) {
       agent.stall = {};
@@ -170,7 +170,7 @@
       packet.returned = true;
       verdict = FromTarget(agent, packet, this->now);
     }
-    const auto& back = std::get<GiveBack>(verdict);
+    const auto& back = std::get<ReturnToBalancer>(verdict);
     const auto flow_of = FlowFromClient(packet);
     this->Apply(TakeProbeBack(this->balancer, flow_of, to, back.by_target, this->now), ended);
   }
