--- a/src/packetd/balancer_node.h
+++ b/src/packetd/balancer_node.h
@@ -114,7 +114,7 @@
   base::MarkClock marks;
   std::map<packets::Address, KnownBalancer> balancers;    ///< that have said hello lately
   packets::Address last_holder = 0;                       ///< that was told as one
-  packets::HearsayTurn hearsay;                           ///< of the messages to balancers
+  packets::GossipState hearsay;                           ///< of the messages to balancers
   std::map<base::ServiceId, packets::ServiceHello> said;  ///< the last hellos
   bool records_read = false;
   std::optional<base::TimePoint> platform_lost_at;
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -24,7 +24,7 @@
 inline constexpr auto kHearsayNew = base::seconds{3};
 
 /// What the regular messages have told so far.
-struct HearsayTurn {
+struct GossipState {
   std::unordered_map<Address, base::TimePoint> told;  ///< live agents, and since when
   std::size_t again = 0;                              ///< where agents that are told of again go on
 };
@@ -37,7 +37,7 @@
 ///
 /// Safeguard: a balancer that others name as their seed tells each of them once a second. With all
 /// agents in each message its link is filled by what did not change.
-auto NextHearsay(const View& view, HearsayTurn& turn, base::TimePoint now) -> Hello;
+auto NextHearsay(const View& view, GossipState& turn, base::TimePoint now) -> Hello;
 
 /// The message in parts that fit into a frame each: agents out of reach go apart from a list that
 /// leaves them no room.
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -23,7 +23,7 @@
   return peers;
 }
 
-auto ForgetSilent(HearsayTurn& turn, const View& view, base::TimePoint now) -> void {
+auto ForgetSilent(GossipState& turn, const View& view, base::TimePoint now) -> void {
   std::erase_if(turn.told, [&](const auto& told) {
     const auto member = view.members.find(told.first);
     return member == view.members.end() || !IsAlive(view, member->second, now);
@@ -51,7 +51,7 @@
   return parts;
 }
 
-auto NextHearsay(const View& view, HearsayTurn& turn, base::TimePoint now) -> Hello {
+auto NextHearsay(const View& view, GossipState& turn, base::TimePoint now) -> Hello {
   ForgetSilent(turn, view, now);
   auto untold = std::vector<Peer>{};
   auto recent = std::vector<Peer>{};
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -38,7 +38,7 @@
 }
 
 // Messages until each live agent has been told of.
-auto TellAll(const View& view, HearsayTurn& turn, base::TimePoint now) -> void {
+auto TellAll(const View& view, GossipState& turn, base::TimePoint now) -> void {
   for (auto i = std::size_t{0}; i <= view.members.size() / kMostNew; ++i) {
     NextHearsay(view, turn, now);
   }
@@ -63,7 +63,7 @@
 // turn is, and agents that have been silent are not.
 BOOST_AUTO_TEST_CASE(a_new_agent_is_told_of_in_the_next_messages) {
   auto view = ViewOf(200);
-  auto turn = HearsayTurn{};
+  auto turn = GossipState{};
   TellAll(view, turn, kStart);
   const auto later = kStart + seconds{60};
   for (auto i = Address{1}; i < 200; ++i) Report(view, kFirstAgent + i, later);
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(all_new_agents_are_told_of_by_full_messages) {
   for (const auto agents : {kMostNew + 1, 2 * kMostNew + 1, 3 * kMostNew + 1, std::size_t{2000}}) {
     auto view = ViewOf(static_cast<Address>(agents));
-    auto turn = HearsayTurn{};
+    auto turn = GossipState{};
     auto named = std::set<Address>{};
     auto now = kStart;
     for (auto told = std::size_t{0}; told < agents; told += kMostNew) {
@@ -102,7 +102,7 @@
   constexpr auto agents = Address{2 * kMostNew + 1};
   auto view = View{};
   for (auto i = Address{0}; i < agents; ++i) AddRecord(view, kFirstAgent + i, kDesk, kStart);
-  auto turn = HearsayTurn{};
+  auto turn = GossipState{};
   BOOST_TEST(NextHearsay(view, turn, kStart).peers.empty());
   auto now = kStart + seconds{60};
   auto named = std::set<Address>{};
@@ -118,7 +118,7 @@
 BOOST_AUTO_TEST_CASE(all_agents_are_told_of_again_in_turn) {
   for (const auto agents : {Address{10}, Address{90}, Address{201}}) {
     auto view = ViewOf(agents);
-    auto turn = HearsayTurn{};
+    auto turn = GossipState{};
     TellAll(view, turn, kStart);
     const auto later = kStart + kHearsayNew;
     for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, later);
@@ -175,7 +175,7 @@
 // More agents are new than a message holds: the others follow in their turn.
 BOOST_AUTO_TEST_CASE(more_new_agents_than_fit_do_not_make_a_message_longer) {
   const auto view = ViewOf(300);
-  auto turn = HearsayTurn{};
+  auto turn = GossipState{};
   BOOST_TEST(NextHearsay(view, turn, kStart).peers.size() <= kMostHearsay);
 }
 
