--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -249,7 +249,7 @@
   }
   const auto knows_agents = !hello.listed || !hello.peers.empty();
   if (!is_new && knows_agents) return;
-  for (const auto& part : packets::WholeHearsay(this->core.view, now)) {
+  for (const auto& part : packets::FullGossip(this->core.view, now)) {
     this->SendHello({from}, part, now);
   }
 }
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -30,7 +30,7 @@
 };
 
 /// To a balancer that knows nobody yet: all live agents, in parts.
-auto WholeHearsay(const View& view, base::TimePoint now) -> std::vector<Hello>;
+auto FullGossip(const View& view, base::TimePoint now) -> std::vector<Hello>;
 
 /// The regular message: agents that are new, those first that no message has told of since they
 /// came to life, and some of the others.
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-auto WholeHearsay(const View& view, base::TimePoint now) -> std::vector<Hello> {
+auto FullGossip(const View& view, base::TimePoint now) -> std::vector<Hello> {
   const auto all = LivePeers(view, now);
   auto parts = std::vector<Hello>{};
   for (auto first = std::size_t{0}; first < all.size(); first += kMostHearsay) {
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -48,7 +48,7 @@
 // the others a part a second, and placed all openings on those that it knew.
 BOOST_AUTO_TEST_CASE(a_balancer_that_knows_nobody_is_told_of_all_at_once) {
   const auto view = ViewOf(2 * kMostHearsay + 1);
-  const auto parts = WholeHearsay(view, kStart);
+  const auto parts = FullGossip(view, kStart);
   BOOST_TEST(parts.size() == 3U);
   auto all = std::set<Address>{};
   for (const auto& part : parts) {
@@ -56,7 +56,7 @@
     all.merge(Named(part));
   }
   BOOST_TEST(all.size() == 2 * kMostHearsay + 1);
-  BOOST_TEST(WholeHearsay(View{}, kStart).empty());
+  BOOST_TEST(FullGossip(View{}, kStart).empty());
 }
 
 // An agent has started and reported here alone: it is named in the next messages whatever their
@@ -132,7 +132,7 @@
 
 // All that a hello between balancers says, and as many domains drained as there may be.
 auto FullHello() -> Hello {
-  auto hello = WholeHearsay(ViewOf(2 * kMostHearsay), kStart).front();
+  auto hello = FullGossip(ViewOf(2 * kMostHearsay), kStart).front();
   BOOST_TEST(hello.peers.size() == kMostHearsay);
   hello.revision = 1ULL << 32;
   hello.drained = DrainedOf(1ULL << 32, MostDrained());
