--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -292,7 +292,7 @@
 auto BalancerNode::TellBalancers(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
                 [&](const auto& entry) { return now - entry.second.mark.at > kBalancerFor; });
-  const auto hearsay = packets::NextHearsay(this->core.view, this->hearsay, now);
+  const auto hearsay = packets::NextGossip(this->core.view, this->hearsay, now);
   this->SendHello(this->Balancers(), hearsay, now);
 }
 
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -37,7 +37,7 @@
 ///
 /// Safeguard: a balancer that others name as their seed tells each of them once a second. With all
 /// agents in each message its link is filled by what did not change.
-auto NextHearsay(const View& view, GossipState& turn, base::TimePoint now) -> Hello;
+auto NextGossip(const View& view, GossipState& turn, base::TimePoint now) -> Hello;
 
 /// The message in parts that fit into a frame each: agents out of reach go apart from a list that
 /// leaves them no room.
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -51,7 +51,7 @@
   return parts;
 }
 
-auto NextHearsay(const View& view, GossipState& turn, base::TimePoint now) -> Hello {
+auto NextGossip(const View& view, GossipState& turn, base::TimePoint now) -> Hello {
   ForgetSilent(turn, view, now);
   auto untold = std::vector<Peer>{};
   auto recent = std::vector<Peer>{};
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -40,7 +40,7 @@
 // Messages until each live agent has been told of.
 auto TellAll(const View& view, GossipState& turn, base::TimePoint now) -> void {
   for (auto i = std::size_t{0}; i <= view.members.size() / kMostNew; ++i) {
-    NextHearsay(view, turn, now);
+    NextGossip(view, turn, now);
   }
 }
 
@@ -69,7 +69,7 @@
   for (auto i = Address{1}; i < 200; ++i) Report(view, kFirstAgent + i, later);
   Report(view, kFirstAgent + 500, later);
   for (auto i = 0; i < 3; ++i) {
-    const auto hello = NextHearsay(view, turn, later);
+    const auto hello = NextGossip(view, turn, later);
     BOOST_TEST(Named(hello).contains(kFirstAgent + 500));
     BOOST_TEST(!Named(hello).contains(kFirstAgent));
     BOOST_TEST(hello.peers.size() == kHearsayAgain + 1);
@@ -86,7 +86,7 @@
     auto now = kStart;
     for (auto told = std::size_t{0}; told < agents; told += kMostNew) {
       for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, now);
-      const auto hello = NextHearsay(view, turn, now);
+      const auto hello = NextGossip(view, turn, now);
       BOOST_TEST(hello.peers.size() <= kMostHearsay);
       named.merge(Named(hello));
       now += seconds{1};
@@ -103,12 +103,12 @@
   auto view = View{};
   for (auto i = Address{0}; i < agents; ++i) AddRecord(view, kFirstAgent + i, kDesk, kStart);
   auto turn = GossipState{};
-  BOOST_TEST(NextHearsay(view, turn, kStart).peers.empty());
+  BOOST_TEST(NextGossip(view, turn, kStart).peers.empty());
   auto now = kStart + seconds{60};
   auto named = std::set<Address>{};
   for (auto message = 0; message < 3; ++message) {
     for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, now);
-    named.merge(Named(NextHearsay(view, turn, now)));
+    named.merge(Named(NextGossip(view, turn, now)));
     now += seconds{1};
   }
   BOOST_TEST(named.size() == agents);
@@ -124,7 +124,7 @@
     for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, later);
     auto named = std::set<Address>{};
     for (auto message = Address{0}; message < agents; message += kHearsayAgain) {
-      named.merge(Named(NextHearsay(view, turn, later)));
+      named.merge(Named(NextGossip(view, turn, later)));
     }
     BOOST_TEST(named.size() == agents);
   }
@@ -176,7 +176,7 @@
 BOOST_AUTO_TEST_CASE(more_new_agents_than_fit_do_not_make_a_message_longer) {
   const auto view = ViewOf(300);
   auto turn = GossipState{};
-  BOOST_TEST(NextHearsay(view, turn, kStart).peers.size() <= kMostHearsay);
+  BOOST_TEST(NextGossip(view, turn, kStart).peers.size() <= kMostHearsay);
 }
 
 }  // namespace
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -170,7 +170,7 @@
   const auto later = kStart + seconds{2};
   rig.Report(kAgent, later);
   auto turn = GossipState{};
-  auto hello = NextHearsay(rig.view, turn, later);
+  auto hello = NextGossip(rig.view, turn, later);
   hello.out_of_reach = OutOfReach(rig.view, kStart, later);
   BOOST_TEST(hello.out_of_reach.size() == kMostOutOfReach);
   BOOST_TEST(EncodeControl(hello).size() <= frame);
