--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -335,7 +335,7 @@
   hello.out_of_reach = packets::OutOfReach(this->core.view, this->core.stall.running_since, now);
   hello.mark = base::MarkAt(this->marks, now);
   hello.balancers = static_cast<std::uint32_t>(this->balancers.size() + 1);
-  auto parts = packets::InFrames(hello);
+  auto parts = packets::SplitIntoFrames(hello);
   for (const auto balancer : to) {
     const auto heard = this->balancers.find(balancer);
     const auto echo =
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -44,7 +44,7 @@
 ///
 /// Safeguard: a message that is longer than a frame is dropped, and with it what it confirms. A
 /// failure domain is out of reach just when the others' agents start again.
-auto InFrames(const Hello& message) -> std::vector<Hello>;
+auto SplitIntoFrames(const Hello& message) -> std::vector<Hello>;
 
 /// Agents that this balancer has found out of reach, at most kMostOutOfReach. What others have told
 /// is not told on: it would outlive its cause among balancers that repeat each other.
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -73,7 +73,7 @@
   return hello;
 }
 
-auto InFrames(const Hello& message) -> std::vector<Hello> {
+auto SplitIntoFrames(const Hello& message) -> std::vector<Hello> {
   const auto bytes =
       message.peers.size() * kPeerBytes + message.out_of_reach.size() * kAddressBytes;
   if (message.out_of_reach.empty() || bytes <= kMostHearsay * kPeerBytes) return {message};
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -160,7 +160,7 @@
       for (auto i = Address{0}; i < count; ++i) hello.out_of_reach.push_back(kFirstAgent + i);
       auto out_of_reach = std::size_t{0};
       auto named = std::size_t{0};
-      for (const auto& part : InFrames(hello)) {
+      for (const auto& part : SplitIntoFrames(hello)) {
         BOOST_TEST(EncodeControl(part).size() <= kFrame);
         BOOST_TEST((!part.peers.empty() || peers == 0 || !part.listed));
         out_of_reach += part.out_of_reach.size();
