--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -256,7 +256,7 @@
 
 auto BalancerNode::Greet(base::TimePoint now) -> void {
   const auto running_since = this->core.stall.running_since;
-  const auto due = packets::DueGreetings(this->core.view, {}, running_since, now);
+  const auto due = packets::DueHellos(this->core.view, {}, running_since, now);
   if (due.empty()) return;
   this->said = packets::MakeHellos(this->core, now);
   auto briefs = std::map<base::ServiceId, std::string>{};
--- a/src/packets/greeting.h
+++ b/src/packets/greeting.h
@@ -28,7 +28,7 @@
 /// Safeguard: with all agents greeted at each change, 91 balancers said hello to 204 agents up to
 /// twenty times a second while targets were replaced; hellos and lists filled links of 20 Mbit/s,
 /// and half of the clients' packets were lost.
-auto DueGreetings(View& view, const GreetingPolicy& policy, base::TimePoint running_since,
-                  base::TimePoint now) -> std::vector<Address>;
+auto DueHellos(View& view, const GreetingPolicy& policy, base::TimePoint running_since,
+               base::TimePoint now) -> std::vector<Address>;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/greeting.cc
+++ b/src/packets/internal/greeting.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-auto DueGreetings(View& view, const GreetingPolicy& policy, base::TimePoint running_since,
-                  base::TimePoint now) -> std::vector<Address> {
+auto DueHellos(View& view, const GreetingPolicy& policy, base::TimePoint running_since,
+               base::TimePoint now) -> std::vector<Address> {
   view.greet_every = PeriodFor(policy, view.members.size());
   auto due = std::vector<Member*>{};
   for (auto& [agent, member] : view.members) {
--- a/src/packets/tests/greeting_test.cc
+++ b/src/packets/tests/greeting_test.cc
@@ -39,7 +39,7 @@
   auto Run(base::Duration duration) -> std::map<Address, std::size_t> {
     auto hellos = std::map<Address, std::size_t>{};
     for (const auto end = this->now + duration; this->now < end; this->now += kCheck) {
-      for (const auto agent : DueGreetings(this->view, {}, kStart, this->now)) {
+      for (const auto agent : DueHellos(this->view, {}, kStart, this->now)) {
         ++hellos[agent];
         this->Report(agent);
       }
@@ -88,7 +88,7 @@
   auto most = std::size_t{0};
   for (auto check = 0; check < 100; ++check, rig.now += kCheck) {
     ++rig.view.changes;
-    const auto due = DueGreetings(rig.view, {}, kStart, rig.now);
+    const auto due = DueHellos(rig.view, {}, kStart, rig.now);
     most = std::max(most, due.size());
     for (const auto agent : due) rig.Report(agent);
   }
@@ -111,9 +111,9 @@
   auto rig = Rig{200};
   rig.Run(seconds{5});
   Suspect(rig.view.members.at(kFirstAgent), rig.now);
-  const auto due = DueGreetings(rig.view, {}, kStart, rig.now);
+  const auto due = DueHellos(rig.view, {}, kStart, rig.now);
   BOOST_TEST((std::find(due.begin(), due.end(), kFirstAgent) != due.end()));
-  const auto again = DueGreetings(rig.view, {}, kStart, rig.now + kCheck);
+  const auto again = DueHellos(rig.view, {}, kStart, rig.now + kCheck);
   BOOST_TEST((std::find(again.begin(), again.end(), kFirstAgent) != again.end()));
 }
 
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -164,7 +164,7 @@
   auto& view = balancer.core.view;
   Forget(view, this->now);
   ForgetHints(balancer.core, this->now);
-  const auto due = DueGreetings(view, {}, balancer.core.stall.running_since, this->now);
+  const auto due = DueHellos(view, {}, balancer.core.stall.running_since, this->now);
   if (due.empty()) return;
   balancer.core.records_at = this->now;
   balancer.said = MakeHellos(balancer.core, this->now);
