--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -171,7 +171,7 @@
                         .turned_away = this->platform_lost_at.has_value(),
                         .answer_coming = this->IsConfigurationComing(),
                         .every = this->settings.configuration_within / kAskForNewerParts};
-  const auto source = packets::NextAsk(this->newer, basis, now);
+  const auto source = packets::NextConfigurationSource(this->newer, basis, now);
   if (!source) return;
   switch (*source) {
     case packets::ConfigurationSource::kCopy:
--- a/src/packets/internal/newer_configuration.cc
+++ b/src/packets/internal/newer_configuration.cc
@@ -57,8 +57,8 @@
   return true;
 }
 
-auto NextAsk(std::optional<NewerConfiguration>& newer, const AskBasis& basis, base::TimePoint now)
-    -> std::optional<ConfigurationSource> {
+auto NextConfigurationSource(std::optional<NewerConfiguration>& newer, const AskBasis& basis,
+                             base::TimePoint now) -> std::optional<ConfigurationSource> {
   if (newer && newer->revision <= basis.revision) newer.reset();
   if (!newer || now - newer->asked_at < basis.every) return std::nullopt;
   if (basis.answer_coming) {
--- a/src/packets/newer_configuration.h
+++ b/src/packets/newer_configuration.h
@@ -43,8 +43,8 @@
 ///
 /// Safeguard: answers that come at the same time share the link, and each takes as much longer. A
 /// question is due only once the answer that is coming has ended.
-auto NextAsk(std::optional<NewerConfiguration>& newer, const AskBasis& basis, base::TimePoint now)
-    -> std::optional<ConfigurationSource>;
+auto NextConfigurationSource(std::optional<NewerConfiguration>& newer, const AskBasis& basis,
+                             base::TimePoint now) -> std::optional<ConfigurationSource>;
 
 /// What agents have said that they keep, to a balancer that has no configuration.
 struct KeptConfigurations {
--- a/src/packets/tests/narrow_links_world.cc
+++ b/src/packets/tests/narrow_links_world.cc
@@ -102,7 +102,7 @@
                               .turned_away = turned_away,
                               .answer_coming = coming,
                               .every = kAskEvery};
-  const auto source = NextAsk(balancer.newer, basis, this->now);
+  const auto source = NextConfigurationSource(balancer.newer, basis, this->now);
   if (!source) return;
   if (*source == ConfigurationSource::kBalancer) {
     const auto holder = static_cast<std::size_t>(balancer.newer->holder);
--- a/src/packets/tests/newer_configuration_test.cc
+++ b/src/packets/tests/newer_configuration_test.cc
@@ -20,7 +20,7 @@
   BOOST_TEST(NoteNewer(newer, kHolder, 4, basis.revision));
   auto asks = std::vector<Source>{};
   for (auto period = 0; period < count; ++period) {
-    if (const auto source = NextAsk(newer, basis, kStart + period * kEvery)) {
+    if (const auto source = NextConfigurationSource(newer, basis, kStart + period * kEvery)) {
       asks.push_back(*source);
     }
   }
@@ -66,11 +66,11 @@
 BOOST_AUTO_TEST_CASE(copies_are_not_asked_again_where_an_answer_takes_long) {
   auto newer = std::optional<NewerConfiguration>{};
   NoteNewer(newer, kHolder, 4, kBasis.revision);
-  BOOST_TEST((NextAsk(newer, kBasis, kStart) == Source::kCopy));
+  BOOST_TEST((NextConfigurationSource(newer, kBasis, kStart) == Source::kCopy));
   auto coming = kBasis;
   coming.answer_coming = true;
-  BOOST_TEST(!NextAsk(newer, coming, kStart + kEvery).has_value());
-  BOOST_TEST((NextAsk(newer, kBasis, kStart + 2 * kEvery) == Source::kPlatform));
+  BOOST_TEST(!NextConfigurationSource(newer, coming, kStart + kEvery).has_value());
+  BOOST_TEST((NextConfigurationSource(newer, kBasis, kStart + 2 * kEvery) == Source::kPlatform));
 }
 
 BOOST_AUTO_TEST_CASE(nobody_is_asked_for_what_is_in_force) {
@@ -79,7 +79,7 @@
   BOOST_TEST(NoteNewer(newer, kHolder, 4, 3));
   auto basis = kBasis;
   basis.revision = 4;
-  BOOST_TEST(!NextAsk(newer, basis, kStart).has_value());
+  BOOST_TEST(!NextConfigurationSource(newer, basis, kStart).has_value());
   BOOST_TEST(!newer.has_value());
 }
 
