--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -165,12 +165,12 @@
 
 // The other balancer may have gone since, and the platform may not answer this one.
 auto BalancerNode::AskForNewer(base::TimePoint now) -> void {
-  const auto basis =
-      packets::AskBasis{.revision = this->peers.Revision(),
-                        .is_seed = this->IsSeed(),
-                        .turned_away = this->platform_lost_at.has_value(),
-                        .answer_coming = this->IsConfigurationComing(),
-                        .every = this->settings.configuration_within / kAskForNewerParts};
+  const auto basis = packets::ConfigurationRequestContext{
+      .revision = this->peers.Revision(),
+      .is_seed = this->IsSeed(),
+      .turned_away = this->platform_lost_at.has_value(),
+      .answer_coming = this->IsConfigurationComing(),
+      .every = this->settings.configuration_within / kAskForNewerParts};
   const auto source = packets::NextConfigurationSource(this->newer, basis, now);
   if (!source) return;
   switch (*source) {
--- a/src/packets/internal/newer_configuration.cc
+++ b/src/packets/internal/newer_configuration.cc
@@ -15,7 +15,8 @@
 
 // Seeds tell all others: what they have is not to be late by the age of a copy. A copy that is
 // behind sends all of its bytes for nothing: where these took long, none is asked again.
-auto CopiesToAsk(const NewerConfiguration& newer, const AskBasis& basis) -> unsigned {
+auto CopiesToAsk(const NewerConfiguration& newer, const ConfigurationRequestContext& basis)
+    -> unsigned {
   if (basis.is_seed) return 0;
   return newer.first_was_slow ? 1 : kCopyAsks;
 }
@@ -57,8 +58,9 @@
   return true;
 }
 
-auto NextConfigurationSource(std::optional<NewerConfiguration>& newer, const AskBasis& basis,
-                             base::TimePoint now) -> std::optional<ConfigurationSource> {
+auto NextConfigurationSource(std::optional<NewerConfiguration>& newer,
+                             const ConfigurationRequestContext& basis, base::TimePoint now)
+    -> std::optional<ConfigurationSource> {
   if (newer && newer->revision <= basis.revision) newer.reset();
   if (!newer || now - newer->asked_at < basis.every) return std::nullopt;
   if (basis.answer_coming) {
--- a/src/packets/newer_configuration.h
+++ b/src/packets/newer_configuration.h
@@ -26,7 +26,7 @@
 };
 
 /// What the next question depends on.
-struct AskBasis {
+struct ConfigurationRequestContext {
   std::uint64_t revision = 0;  ///< of the configuration that is in force here
   bool is_seed = false;        ///< others hear of changes from this balancer
   bool turned_away = false;    ///< the platform has not answered this balancer
@@ -43,8 +43,9 @@
 ///
 /// Safeguard: answers that come at the same time share the link, and each takes as much longer. A
 /// question is due only once the answer that is coming has ended.
-auto NextConfigurationSource(std::optional<NewerConfiguration>& newer, const AskBasis& basis,
-                             base::TimePoint now) -> std::optional<ConfigurationSource>;
+auto NextConfigurationSource(std::optional<NewerConfiguration>& newer,
+                             const ConfigurationRequestContext& basis, base::TimePoint now)
+    -> std::optional<ConfigurationSource>;
 
 /// What agents have said that they keep, to a balancer that has no configuration.
 struct KeptConfigurations {
--- a/src/packets/tests/narrow_links_world.cc
+++ b/src/packets/tests/narrow_links_world.cc
@@ -97,11 +97,11 @@
   }
   const auto is_seed = index < kSeeds;
   const auto turned_away = balancer.reads.backoff.failures != 0;
-  const auto basis = AskBasis{.revision = balancer.version,
-                              .is_seed = is_seed,
-                              .turned_away = turned_away,
-                              .answer_coming = coming,
-                              .every = kAskEvery};
+  const auto basis = ConfigurationRequestContext{.revision = balancer.version,
+                                                 .is_seed = is_seed,
+                                                 .turned_away = turned_away,
+                                                 .answer_coming = coming,
+                                                 .every = kAskEvery};
   const auto source = NextConfigurationSource(balancer.newer, basis, this->now);
   if (!source) return;
   if (*source == ConfigurationSource::kBalancer) {
--- a/src/packets/tests/newer_configuration_test.cc
+++ b/src/packets/tests/newer_configuration_test.cc
@@ -12,10 +12,10 @@
 constexpr auto kStart = base::TimePoint{base::seconds{1000}};
 constexpr auto kEvery = milliseconds{500};
 constexpr auto kHolder = Address{7};
-constexpr auto kBasis = AskBasis{.revision = 3, .every = kEvery};
+constexpr auto kBasis = ConfigurationRequestContext{.revision = 3, .every = kEvery};
 
 // The questions of `count` periods by a balancer that has heard of revision 4.
-auto AsksOf(const AskBasis& basis, int count) -> std::vector<Source> {
+auto AsksOf(const ConfigurationRequestContext& basis, int count) -> std::vector<Source> {
   auto newer = std::optional<NewerConfiguration>{};
   BOOST_TEST(NoteNewer(newer, kHolder, 4, basis.revision));
   auto asks = std::vector<Source>{};
