--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -109,7 +109,8 @@
 // one replaces it as soon as the platform answers.
 auto BalancerNode::AskAgent(const packets::TargetReport& report, base::TimePoint now) -> void {
   if (this->reads.Age(now)) return;
-  const auto ask = packets::TakeKept(this->kept, report.revision, now - this->started_at);
+  const auto ask =
+      packets::NoteKeptConfiguration(this->kept, report.revision, now - this->started_at);
   if (this->core.routes) {
     packets::NoteNewer(this->newer, report.agent, report.revision, this->peers.Revision());
   } else if (ask && !this->IsConfigurationComing()) {
--- a/src/packets/internal/newer_configuration.cc
+++ b/src/packets/internal/newer_configuration.cc
@@ -77,8 +77,8 @@
   return SourceOf(newer->asks, CopiesToAsk(*newer, basis));
 }
 
-auto TakeKept(KeptConfigurations& kept, std::uint64_t revision, base::Duration running_for)
-    -> bool {
+auto NoteKeptConfiguration(KeptConfigurations& kept, std::uint64_t revision,
+                           base::Duration running_for) -> bool {
   kept.newest = std::max(kept.newest, revision);
   if (revision == 0 || running_for < kAskAgentsAfter) return false;
   return revision == kept.newest || running_for >= kTakeOlderAfter;
--- a/src/packets/newer_configuration.h
+++ b/src/packets/newer_configuration.h
@@ -57,6 +57,7 @@
 ///
 /// Safeguard: an agent that kept the configuration once offers what it had then. Asked because it
 /// was the first to report, it puts a configuration in force that was replaced long ago.
-auto TakeKept(KeptConfigurations& kept, std::uint64_t revision, base::Duration running_for) -> bool;
+auto NoteKeptConfiguration(KeptConfigurations& kept, std::uint64_t revision,
+                           base::Duration running_for) -> bool;
 
 }  // namespace anvildrum::packets
--- a/src/packets/tests/newer_configuration_test.cc
+++ b/src/packets/tests/newer_configuration_test.cc
@@ -94,26 +94,26 @@
 // The platform and other balancers, which have the newest, are given time to answer.
 BOOST_AUTO_TEST_CASE(an_agent_is_not_asked_at_once) {
   auto kept = KeptConfigurations{};
-  BOOST_TEST(!TakeKept(kept, 3, milliseconds{499}));
-  BOOST_TEST(TakeKept(kept, 3, milliseconds{500}));
-  BOOST_TEST(!TakeKept(kept, 0, milliseconds{500}));
+  BOOST_TEST(!NoteKeptConfiguration(kept, 3, milliseconds{499}));
+  BOOST_TEST(NoteKeptConfiguration(kept, 3, milliseconds{500}));
+  BOOST_TEST(!NoteKeptConfiguration(kept, 0, milliseconds{500}));
 }
 
 // An agent that kept the configuration an hour ago puts it in force again.
 BOOST_AUTO_TEST_CASE(the_newest_of_what_agents_keep_is_asked_for) {
   auto kept = KeptConfigurations{};
-  TakeKept(kept, 3, milliseconds{100});
-  TakeKept(kept, 7, milliseconds{200});
-  BOOST_TEST(!TakeKept(kept, 3, milliseconds{600}));
-  BOOST_TEST(TakeKept(kept, 7, milliseconds{700}));
+  NoteKeptConfiguration(kept, 3, milliseconds{100});
+  NoteKeptConfiguration(kept, 7, milliseconds{200});
+  BOOST_TEST(!NoteKeptConfiguration(kept, 3, milliseconds{600}));
+  BOOST_TEST(NoteKeptConfiguration(kept, 7, milliseconds{700}));
 }
 
 // The only agent that kept the newest has gone, and nothing is served.
 BOOST_AUTO_TEST_CASE(an_older_configuration_is_taken_where_the_newest_does_not_come) {
   auto kept = KeptConfigurations{};
-  TakeKept(kept, 7, milliseconds{200});
-  BOOST_TEST(!TakeKept(kept, 3, milliseconds{1400}));
-  BOOST_TEST(TakeKept(kept, 3, milliseconds{1500}));
+  NoteKeptConfiguration(kept, 7, milliseconds{200});
+  BOOST_TEST(!NoteKeptConfiguration(kept, 3, milliseconds{1400}));
+  BOOST_TEST(NoteKeptConfiguration(kept, 3, milliseconds{1500}));
 }
 
 }  // namespace
