--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -54,7 +54,7 @@
       reads({this->client, this->stale_client}, adapter, settings, this->MakeReadPorts()),
       probes(io, settings.heartbeats.port,
              [this](packets::Address machine, base::TimePoint began, bool answered) {
-               packets::TakeProbe(this->core.view, machine, began, answered);
+               packets::RecordProbeResult(this->core.view, machine, began, answered);
              }) {
   this->core.view.policy = this->core.policy.view;
   this->core.own = AddressOf(settings.packets);
--- a/src/packets/internal/reach.cc
+++ b/src/packets/internal/reach.cc
@@ -37,7 +37,7 @@
   return agents;
 }
 
-auto TakeProbe(View& view, Address agent, base::TimePoint began, bool answered) -> void {
+auto RecordProbeResult(View& view, Address agent, base::TimePoint began, bool answered) -> void {
   const auto entry = view.members.find(agent);
   if (entry == view.members.end()) return;
   auto& member = entry->second;
--- a/src/packets/reach.h
+++ b/src/packets/reach.h
@@ -32,6 +32,6 @@
 
 /// How an attempt to connect to a member's machine that was begun at `began` has ended. `answered`:
 /// it was accepted or refused.
-auto TakeProbe(View& view, Address agent, base::TimePoint began, bool answered) -> void;
+auto RecordProbeResult(View& view, Address agent, base::TimePoint began, bool answered) -> void;
 
 }  // namespace anvildrum::packets
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -85,7 +85,7 @@
     auto rig = Rig{};
     const auto began = kStart + kSilentFor + kTick;
     rig.DueAt(began);
-    TakeProbe(rig.view, kAgent, began, answered);
+    RecordProbeResult(rig.view, kAgent, began, answered);
     const auto soon = kStart + rig.view.policy.unreachable_for;
     rig.DueAt(soon + kTick);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon + kTick) != answered);
@@ -104,7 +104,7 @@
   rig.Report(kAgent, kStart + milliseconds{800});
   const auto began = kStart + kSilentFor + kTick;
   BOOST_TEST((rig.DueAt(began) == std::vector{gone}));
-  TakeProbe(rig.view, gone, began, false);
+  RecordProbeResult(rig.view, gone, began, false);
   const auto soon = kStart + rig.view.policy.unreachable_for + kTick;
   rig.DueAt(soon);
   BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon));
@@ -114,7 +114,7 @@
   auto rig = Rig{};
   const auto began = kStart + kSilentFor + kTick;
   rig.DueAt(began);
-  TakeProbe(rig.view, kAgent, began, false);
+  RecordProbeResult(rig.view, kAgent, began, false);
   rig.Report(kAgent, began + milliseconds{100});
   const auto later = began + milliseconds{100} + rig.view.policy.unreachable_for + kTick;
   rig.DueAt(later);
@@ -127,8 +127,8 @@
   auto rig = Rig{};
   const auto began = kStart + kSilentFor + kTick;
   DueProbes(rig.view, {}, kMost, kStart, began);
-  TakeProbe(rig.view, kAgent, began, false);
-  TakeProbe(rig.view, kOther, began, false);
+  RecordProbeResult(rig.view, kAgent, began, false);
+  RecordProbeResult(rig.view, kOther, began, false);
   const auto later = kStart + seconds{2};
   DueProbes(rig.view, {}, kMost, kStart, later);
   BOOST_TEST(rig.view.isolated);
@@ -155,7 +155,7 @@
   rig.Report(kOther, later);
   BOOST_TEST(!IsComplete(rig.view, kDesk, kStart, later));
   TakeOutOfReach(rig.view, gone, later);
-  TakeProbe(rig.view, gone, later, true);
+  RecordProbeResult(rig.view, gone, later, true);
   BOOST_TEST(!IsComplete(rig.view, kDesk, kStart, later));
 }
 
@@ -165,7 +165,7 @@
   for (auto i = std::size_t{0}; i <= kMostOutOfReach; ++i) {
     const auto agent = static_cast<Address>(0x0a020000 + i);
     AddRecord(rig.view, agent, kDesk, kStart);
-    TakeProbe(rig.view, agent, kStart + kTick, false);
+    RecordProbeResult(rig.view, agent, kStart + kTick, false);
   }
   const auto later = kStart + seconds{2};
   rig.Report(kAgent, later);
@@ -193,7 +193,7 @@
   NoteEvent(balancer.stall, kStart);
   balancer.hints[FlowFromClient(packet)] = {.agent = kAgent, .seen = kStart, .opened = true};
   const auto began = kStart + kSilentFor + kTick;
-  TakeProbe(balancer.view, kAgent, began, false);
+  RecordProbeResult(balancer.view, kAgent, began, false);
   const auto later = kStart + balancer.view.policy.unreachable_for + kTick;
   for (auto now = kStart; now <= later; now += kStallCheck) NoteEvent(balancer.stall, now);
   BOOST_TEST(std::holds_alternative<AwaitSearch>(RoutePacket(balancer, packet, later)));
