--- a/src/packets/control.h
+++ b/src/packets/control.h
@@ -41,13 +41,13 @@
   std::uint32_t parts = 1;
   base::Duration every{};  ///< until the balancer's next hello, while nothing changes
   /// Agents of the service whose process has started anew a moment ago, and that the balancer knew
-  /// before: their targets may hold flows which an earlier process opened. At most kMostRestarted.
+  /// before: their targets may hold flows which an earlier process opened. At most kMaxRestarted.
   std::vector<Address> restarted{};
   /// The platform's revision of the configuration that the sender has in force; 0: none. A balancer
   /// that has an older one reads it, an agent that keeps a copy asks for it.
   std::uint64_t revision = 0;
   DrainedDomains drained{};  ///< as the sender knows them
-  /// To a balancer: agents whose machines the sender has found out of reach, kMostOutOfReach of
+  /// To a balancer: agents whose machines the sender has found out of reach, kMaxOutOfReach of
   /// them.
   std::vector<Address> out_of_reach{};
   /// To a balancer: when this was sent, the platform had said this long ago that there is nothing
@@ -67,11 +67,11 @@
 
 /// Agents that a hello names as started anew, the rest of a datagram: beyond that their targets are
 /// not told apart, and `complete` is false.
-inline constexpr auto kMostRestarted = std::size_t{300};
+inline constexpr auto kMaxRestarted = std::size_t{300};
 
 /// Agents that a hello to a balancer names as out of reach, beside hearsay in one datagram. Others
 /// each balancer finds itself, a second later.
-inline constexpr auto kMostOutOfReach = std::size_t{200};
+inline constexpr auto kMaxOutOfReach = std::size_t{200};
 
 /// Most parts of a list.
 inline constexpr auto kMaxHelloParts = std::uint32_t{64};
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -13,20 +13,20 @@
 
 /// Agents in one message: with what else a hello says, kMostDrained domains among it, no datagram
 /// is longer than an Ethernet frame.
-inline constexpr auto kMostHearsay = std::size_t{75};
+inline constexpr auto kMaxGossipPeers = std::size_t{75};
 
 /// Agents that each message repeats of those that have been known for longer, in turn: what was
 /// lost comes again, all of 200 within ten seconds.
-inline constexpr auto kHearsayAgain = std::size_t{20};
+inline constexpr auto kGossipRepeats = std::size_t{20};
 
 /// How long an agent counts as new once it has been told of: three messages, of which two may be
 /// lost.
-inline constexpr auto kHearsayNew = base::seconds{3};
+inline constexpr auto kGossipNewFor = base::seconds{3};
 
 /// What the regular messages have told so far.
 struct GossipState {
-  std::unordered_map<Address, base::TimePoint> told;  ///< live agents, and since when
-  std::size_t again = 0;                              ///< where agents that are told of again go on
+  std::unordered_map<Address, base::TimePoint> announced_at;  ///< live agents, and since when
+  std::size_t next_repeat = 0;  ///< where agents that are told of again go on
 };
 
 /// To a balancer that knows nobody yet: all live agents, in parts.
--- a/src/packets/internal/control.cc
+++ b/src/packets/internal/control.cc
@@ -157,7 +157,7 @@
 }
 
 // The peers of a hello to an agent, each with its domain.
-auto TakeAgents(const pb::Hello& message, Hello& hello) -> bool {
+auto ReadAgents(const pb::Hello& message, Hello& hello) -> bool {
   if (message.domains_size() != message.agents_size()) return false;
   for (auto i = 0; i < message.agents_size(); ++i) {
     if (!IsDomain(message.domains(i))) return false;
@@ -197,7 +197,7 @@
   for (const auto& peer : message.peers()) {
     hello.peers.push_back({peer.agent(), base::ServiceId{peer.service()}, 0});
   }
-  if (!TakeAgents(message, hello)) return std::nullopt;
+  if (!ReadAgents(message, hello)) return std::nullopt;
   return hello;
 }
 
--- a/src/packets/internal/greeting.cc
+++ b/src/packets/internal/greeting.cc
@@ -6,21 +6,21 @@
 namespace anvildrum::packets {
 namespace {
 
-auto PeriodFor(const GreetingPolicy& policy, std::size_t agents) -> base::Duration {
+auto PeriodFor(const HelloPolicy& policy, std::size_t agents) -> base::Duration {
   const auto count = static_cast<std::int64_t>(agents);
   const auto round =
-      base::Duration{base::seconds{count}} / static_cast<std::int64_t>(policy.calm_per_second);
+      base::Duration{base::seconds{count}} / static_cast<std::int64_t>(policy.idle_per_second);
   return std::max(policy.period, round);
 }
 
 // Suspected members first: each check without their answer counts.
-auto UrgencyOf(const Member& member) -> std::tuple<bool, base::TimePoint, Address> {
+auto HelloPriority(const Member& member) -> std::tuple<bool, base::TimePoint, Address> {
   return {member.suspected_at == base::TimePoint{}, member.greeted_at, member.agent};
 }
 
 }  // namespace
 
-auto DueHellos(View& view, const GreetingPolicy& policy, base::TimePoint running_since,
+auto DueHellos(View& view, const HelloPolicy& policy, base::TimePoint running_since,
                base::TimePoint now) -> std::vector<Address> {
   view.greet_every = PeriodFor(policy, view.members.size());
   auto due = std::vector<Member*>{};
@@ -31,8 +31,8 @@
     due.push_back(&member);
   }
   std::sort(due.begin(), due.end(),
-            [](const Member* a, const Member* b) { return UrgencyOf(*a) < UrgencyOf(*b); });
-  if (due.size() > policy.most_per_check) due.resize(policy.most_per_check);
+            [](const Member* a, const Member* b) { return HelloPriority(*a) < HelloPriority(*b); });
+  if (due.size() > policy.max_per_check) due.resize(policy.max_per_check);
   auto agents = std::vector<Address>{};
   for (auto* member : due) {
     member->greeted_at = now;
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -6,7 +6,7 @@
 namespace anvildrum::packets {
 namespace {
 
-constexpr auto kMostNew = kMostHearsay - kHearsayAgain;
+constexpr auto kMaxNewPeers = kMaxGossipPeers - kGossipRepeats;
 
 // Of a message that is sent, at most.
 constexpr auto kPeerBytes = std::size_t{15};
@@ -23,8 +23,8 @@
   return peers;
 }
 
-auto ForgetSilent(GossipState& turn, const View& view, base::TimePoint now) -> void {
-  std::erase_if(turn.told, [&](const auto& told) {
+auto EraseSilent(GossipState& turn, const View& view, base::TimePoint now) -> void {
+  std::erase_if(turn.announced_at, [&](const auto& told) {
     const auto member = view.members.find(told.first);
     return member == view.members.end() || !IsAlive(view, member->second, now);
   });
@@ -42,8 +42,8 @@
 auto FullGossip(const View& view, base::TimePoint now) -> std::vector<Hello> {
   const auto all = LivePeers(view, now);
   auto parts = std::vector<Hello>{};
-  for (auto first = std::size_t{0}; first < all.size(); first += kMostHearsay) {
-    const auto last = std::min(first + kMostHearsay, all.size());
+  for (auto first = std::size_t{0}; first < all.size(); first += kMaxGossipPeers) {
+    const auto last = std::min(first + kMaxGossipPeers, all.size());
     auto& part = parts.emplace_back();
     part.peers.assign(all.begin() + static_cast<std::ptrdiff_t>(first),
                       all.begin() + static_cast<std::ptrdiff_t>(last));
@@ -52,31 +52,31 @@
 }
 
 auto NextGossip(const View& view, GossipState& turn, base::TimePoint now) -> Hello {
-  ForgetSilent(turn, view, now);
+  EraseSilent(turn, view, now);
   auto untold = std::vector<Peer>{};
   auto recent = std::vector<Peer>{};
   auto others = std::vector<Peer>{};
   for (const auto& peer : LivePeers(view, now)) {
-    const auto told = turn.told.find(peer.agent);
-    if (told == turn.told.end()) {
+    const auto told = turn.announced_at.find(peer.agent);
+    if (told == turn.announced_at.end()) {
       untold.push_back(peer);
     } else {
-      (now - told->second < kHearsayNew ? recent : others).push_back(peer);
+      (now - told->second < kGossipNewFor ? recent : others).push_back(peer);
     }
   }
   auto hello = Hello{};
-  Append(hello, untold, 0, kMostNew);
-  for (const auto& peer : hello.peers) turn.told[peer.agent] = now;
-  Append(hello, recent, 0, kMostNew - hello.peers.size());
-  Append(hello, others, turn.again, kHearsayAgain);
-  turn.again = others.empty() ? 0 : (turn.again + kHearsayAgain) % others.size();
+  Append(hello, untold, 0, kMaxNewPeers);
+  for (const auto& peer : hello.peers) turn.announced_at[peer.agent] = now;
+  Append(hello, recent, 0, kMaxNewPeers - hello.peers.size());
+  Append(hello, others, turn.next_repeat, kGossipRepeats);
+  turn.next_repeat = others.empty() ? 0 : (turn.next_repeat + kGossipRepeats) % others.size();
   return hello;
 }
 
 auto SplitIntoFrames(const Hello& message) -> std::vector<Hello> {
   const auto bytes =
       message.peers.size() * kPeerBytes + message.out_of_reach.size() * kAddressBytes;
-  if (message.out_of_reach.empty() || bytes <= kMostHearsay * kPeerBytes) return {message};
+  if (message.out_of_reach.empty() || bytes <= kMaxGossipPeers * kPeerBytes) return {message};
   auto agents = message;
   agents.out_of_reach.clear();
   auto out_of_reach = message;
@@ -89,7 +89,7 @@
     -> std::vector<Address> {
   auto agents = std::vector<Address>{};
   for (const auto& [agent, member] : view.members) {
-    if (agents.size() == kMostOutOfReach) break;
+    if (agents.size() == kMaxOutOfReach) break;
     if (FoundOutOfReach(view, member, running_since, now)) agents.push_back(agent);
   }
   return agents;
--- a/src/packets/internal/hello.cc
+++ b/src/packets/internal/hello.cc
@@ -65,7 +65,7 @@
     hello.digest = DigestOf(hello);
     hello.complete =
         RecordsAreFresh(balancer, now) && IsComplete(view, service, running_since, now);
-    if (hello.restarted.size() > kMostRestarted) {
+    if (hello.restarted.size() > kMaxRestarted) {
       hello.restarted.clear();
       hello.complete = false;
     }
--- a/src/packets/internal/newer_configuration.cc
+++ b/src/packets/internal/newer_configuration.cc
@@ -8,17 +8,17 @@
 using Source = ConfigurationSource;
 
 // Questions for a newer configuration, after which the regular reads tell what there is.
-constexpr auto kMostAsks = 8U;
+constexpr auto kMaxRequests = 8U;
 
 // Questions that go to copies of the platform's state first, which are cheaper and may be behind.
-constexpr auto kCopyAsks = 2U;
+constexpr auto kMaxCopyRequests = 2U;
 
 // Seeds tell all others: what they have is not to be late by the age of a copy. A copy that is
 // behind sends all of its bytes for nothing: where these took long, none is asked again.
-auto CopiesToAsk(const NewerConfiguration& newer, const ConfigurationRequestContext& basis)
+auto CopyRequests(const NewerConfiguration& newer, const ConfigurationRequestContext& basis)
     -> unsigned {
   if (basis.is_seed) return 0;
-  return newer.first_was_slow ? 1 : kCopyAsks;
+  return newer.first_answer_was_slow ? 1 : kMaxCopyRequests;
 }
 
 // Whom the n-th question goes to, from 1. After the copies the platform itself, since all others
@@ -33,7 +33,7 @@
 //
 // Safeguard: it would ask the platform several times for each version, in vain, and a refused call
 // costs as much as an answered one.
-auto SourceWhileTurnedAway(unsigned ask) -> Source {
+auto SourceWhileRejected(unsigned ask) -> Source {
   return ask % 4 == 0 ? Source::kCopy : Source::kBalancer;
 }
 
@@ -64,17 +64,17 @@
   if (newer && newer->revision <= basis.revision) newer.reset();
   if (!newer || now - newer->asked_at < basis.every) return std::nullopt;
   if (basis.answer_coming) {
-    if (newer->asks == 1) newer->first_was_slow = true;
+    if (newer->requests == 1) newer->first_answer_was_slow = true;
     return std::nullopt;
   }
   // The one that said so may have gone, and the platform may have been set back to an older state.
-  if (++newer->asks > kMostAsks) {
+  if (++newer->requests > kMaxRequests) {
     newer.reset();
     return std::nullopt;
   }
   newer->asked_at = now;
-  if (basis.turned_away) return SourceWhileTurnedAway(newer->asks);
-  return SourceOf(newer->asks, CopiesToAsk(*newer, basis));
+  if (basis.turned_away) return SourceWhileRejected(newer->requests);
+  return SourceOf(newer->requests, CopyRequests(*newer, basis));
 }
 
 auto NoteKeptConfiguration(KeptConfigurations& kept, std::uint64_t revision,
--- a/src/packets/newer_configuration.h
+++ b/src/packets/newer_configuration.h
@@ -20,9 +20,10 @@
 struct NewerConfiguration {
   Address holder = 0;  ///< who has it
   std::uint64_t revision = 0;
-  base::TimePoint asked_at{};   ///< for it, the last time
-  unsigned asks = 0;            ///< so far
-  bool first_was_slow = false;  ///< its answer was still coming when the next question was due
+  base::TimePoint asked_at{};  ///< for it, the last time
+  unsigned requests = 0;       ///< so far
+  bool first_answer_was_slow =
+      false;  ///< its answer was still coming when the next question was due
 };
 
 /// What the next question depends on.
--- a/src/packets/tests/control_test.cc
+++ b/src/packets/tests/control_test.cc
@@ -120,7 +120,7 @@
 BOOST_AUTO_TEST_CASE(more_restarted_agents_than_can_be_named_leave_a_list_incomplete) {
   constexpr auto service = base::ServiceId{7};
   constexpr auto now = base::TimePoint{base::seconds{1000}};
-  for (const auto count : {kMostRestarted, kMostRestarted + 1}) {
+  for (const auto count : {kMaxRestarted, kMaxRestarted + 1}) {
     auto balancer = Balancer{};
     balancer.records_at = now;
     balancer.view.drained = DrainedOf(1ULL << 32, MostDrained());
@@ -137,7 +137,7 @@
       balancer.view.members.at(agent).restarted_at = now;
     }
     const auto hello = MakeHellos(balancer, now).at(service).brief;
-    const auto fits = count == kMostRestarted;
+    const auto fits = count == kMaxRestarted;
     BOOST_TEST(hello.restarted.size() == (fits ? count : 0U));
     BOOST_TEST(hello.complete == fits);
     BOOST_TEST(EncodeControl(hello).size() <= kFrame);
--- a/src/packets/tests/greeting_test.cc
+++ b/src/packets/tests/greeting_test.cc
@@ -74,7 +74,7 @@
     rig.Run(seconds{6});
     const auto hellos = rig.Run(seconds{10});
     BOOST_TEST(hellos.size() == agents);
-    BOOST_TEST(Sum(hellos) <= 10 * GreetingPolicy{}.calm_per_second);
+    BOOST_TEST(Sum(hellos) <= 10 * HelloPolicy{}.idle_per_second);
     for (const auto& [agent, member] : rig.view.members) {
       BOOST_TEST(IsAlive(rig.view, member, rig.now));
     }
@@ -92,7 +92,7 @@
     most = std::max(most, due.size());
     for (const auto agent : due) rig.Report(agent);
   }
-  BOOST_TEST(most == GreetingPolicy{}.most_per_check);
+  BOOST_TEST(most == HelloPolicy{}.max_per_check);
 }
 
 // What has changed reaches every agent in as many checks as the bound allows, and none is left out
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -13,7 +13,7 @@
 constexpr auto kStart = base::TimePoint{seconds{1000}};
 constexpr auto kFirstAgent = Address{0x0a010001};
 constexpr auto kDesk = base::ServiceId{11};
-constexpr auto kMostNew = kMostHearsay - kHearsayAgain;
+constexpr auto kMostNew = kMaxGossipPeers - kGossipRepeats;
 
 auto Report(View& view, Address agent, base::TimePoint now) -> void {
   TakeReport(view,
@@ -47,15 +47,15 @@
 // A balancer starts while the platform is away, and knows nobody. Beyond 90 agents it learned of
 // the others a part a second, and placed all openings on those that it knew.
 BOOST_AUTO_TEST_CASE(a_balancer_that_knows_nobody_is_told_of_all_at_once) {
-  const auto view = ViewOf(2 * kMostHearsay + 1);
+  const auto view = ViewOf(2 * kMaxGossipPeers + 1);
   const auto parts = FullGossip(view, kStart);
   BOOST_TEST(parts.size() == 3U);
   auto all = std::set<Address>{};
   for (const auto& part : parts) {
-    BOOST_TEST(part.peers.size() <= kMostHearsay);
+    BOOST_TEST(part.peers.size() <= kMaxGossipPeers);
     all.merge(Named(part));
   }
-  BOOST_TEST(all.size() == 2 * kMostHearsay + 1);
+  BOOST_TEST(all.size() == 2 * kMaxGossipPeers + 1);
   BOOST_TEST(FullGossip(View{}, kStart).empty());
 }
 
@@ -72,7 +72,7 @@
     const auto hello = NextGossip(view, turn, later);
     BOOST_TEST(Named(hello).contains(kFirstAgent + 500));
     BOOST_TEST(!Named(hello).contains(kFirstAgent));
-    BOOST_TEST(hello.peers.size() == kHearsayAgain + 1);
+    BOOST_TEST(hello.peers.size() == kGossipRepeats + 1);
   }
 }
 
@@ -87,7 +87,7 @@
     for (auto told = std::size_t{0}; told < agents; told += kMostNew) {
       for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, now);
       const auto hello = NextGossip(view, turn, now);
-      BOOST_TEST(hello.peers.size() <= kMostHearsay);
+      BOOST_TEST(hello.peers.size() <= kMaxGossipPeers);
       named.merge(Named(hello));
       now += seconds{1};
     }
@@ -120,10 +120,10 @@
     auto view = ViewOf(agents);
     auto turn = GossipState{};
     TellAll(view, turn, kStart);
-    const auto later = kStart + kHearsayNew;
+    const auto later = kStart + kGossipNewFor;
     for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, later);
     auto named = std::set<Address>{};
-    for (auto message = Address{0}; message < agents; message += kHearsayAgain) {
+    for (auto message = Address{0}; message < agents; message += kGossipRepeats) {
       named.merge(Named(NextGossip(view, turn, later)));
     }
     BOOST_TEST(named.size() == agents);
@@ -132,8 +132,8 @@
 
 // All that a hello between balancers says, and as many domains drained as there may be.
 auto FullHello() -> Hello {
-  auto hello = FullGossip(ViewOf(2 * kMostHearsay), kStart).front();
-  BOOST_TEST(hello.peers.size() == kMostHearsay);
+  auto hello = FullGossip(ViewOf(2 * kMaxGossipPeers), kStart).front();
+  BOOST_TEST(hello.peers.size() == kMaxGossipPeers);
   hello.revision = 1ULL << 32;
   hello.drained = DrainedOf(1ULL << 32, MostDrained());
   hello.confirmed_ago = seconds{60};
@@ -153,8 +153,8 @@
 // A failure domain is out of reach while the agents of another one start: both lists together are
 // longer than a frame, and with the message its confirmation of the configuration was lost.
 BOOST_AUTO_TEST_CASE(agents_out_of_reach_go_apart_from_a_full_list) {
-  for (const auto peers : {std::size_t{0}, kHearsayAgain, kMostHearsay / 2, kMostHearsay}) {
-    for (const auto count : {std::size_t{1}, kMostOutOfReach / 2, kMostOutOfReach}) {
+  for (const auto peers : {std::size_t{0}, kGossipRepeats, kMaxGossipPeers / 2, kMaxGossipPeers}) {
+    for (const auto count : {std::size_t{1}, kMaxOutOfReach / 2, kMaxOutOfReach}) {
       auto hello = FullHello();
       hello.peers.resize(peers);
       for (auto i = Address{0}; i < count; ++i) hello.out_of_reach.push_back(kFirstAgent + i);
@@ -176,7 +176,7 @@
 BOOST_AUTO_TEST_CASE(more_new_agents_than_fit_do_not_make_a_message_longer) {
   const auto view = ViewOf(300);
   auto turn = GossipState{};
-  BOOST_TEST(NextGossip(view, turn, kStart).peers.size() <= kMostHearsay);
+  BOOST_TEST(NextGossip(view, turn, kStart).peers.size() <= kMaxGossipPeers);
 }
 
 }  // namespace
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -162,7 +162,7 @@
 BOOST_AUTO_TEST_CASE(no_more_are_told_than_fit_into_a_datagram) {
   constexpr auto frame = std::size_t{1400};
   auto rig = Rig{};
-  for (auto i = std::size_t{0}; i <= kMostOutOfReach; ++i) {
+  for (auto i = std::size_t{0}; i <= kMaxOutOfReach; ++i) {
     const auto agent = static_cast<Address>(0x0a020000 + i);
     AddRecord(rig.view, agent, kDesk, kStart);
     RecordProbeResult(rig.view, agent, kStart + kTick, false);
@@ -172,7 +172,7 @@
   auto turn = GossipState{};
   auto hello = NextGossip(rig.view, turn, later);
   hello.out_of_reach = OutOfReach(rig.view, kStart, later);
-  BOOST_TEST(hello.out_of_reach.size() == kMostOutOfReach);
+  BOOST_TEST(hello.out_of_reach.size() == kMaxOutOfReach);
   BOOST_TEST(EncodeControl(hello).size() <= frame);
 }
 
