--- a/src/packets/control.h
+++ b/src/packets/control.h
@@ -13,100 +13,105 @@
 #include "packets/types/query.h"
 #include "packets/types/target.h"
 
-/// Control datagrams of packet flows. A balancer says hello to each agent that it knows, and the
-/// agent answers with a report; an agent also reports unasked when its target's state changes, and
-/// to the balancers that its settings name while no balancer has said hello.
+/// Control datagrams of packet flows. A balancer sends a hello to each agent that it knows, and the
+/// agent answers with a report. An agent also reports unasked when its target's state changes, and,
+/// while no balancer has sent it a hello, to the balancers that its settings name.
 namespace anvildrum::packets {
 
 struct Peer {
   Address agent = 0;
   base::ServiceId service;
-  DomainTag domain = 0;  ///< told to agents
+  DomainTag domain = 0;  ///< failure domain; only in hellos to agents
   auto operator==(const Peer&) const -> bool = default;
 };
 
-/// From a balancer: to an agent with the live agents of its service, to a balancer with all.
+/// Sent by a balancer. To an agent it lists the live agents of that agent's service, to a balancer
+/// those of all services.
 ///
-/// A hello names the list by its digest. An agent that holds no list with that digest, from this
-/// balancer or another one, asks for it in its report (TargetReport::wanted_list). With the list in
-/// every hello a balancer's bytes grow as its agents squared.
+/// A hello to an agent identifies the list by its digest. An agent that holds no list with that
+/// digest, from this balancer or another one, requests it in its report
+/// (TargetReport::wanted_list). If every hello carried the list, a balancer's traffic would grow
+/// with the square of its number of agents.
 struct Hello {
-  base::ServiceId service{};  ///< of the agent that it goes to; zero: it goes to a balancer
-  std::vector<Peer> peers;    ///< in the order of addresses; empty where `listed` is false
-  /// No other agent of the service can hold a flow, as far as the balancer knows.
+  base::ServiceId service{};  ///< of the receiving agent; zero: the receiver is a balancer
+  std::vector<Peer> peers;    ///< sorted by address; empty where `listed` is false
+  /// As far as the balancer knows, no agent of the service outside the list can hold a flow.
   bool complete = false;
-  bool listed = true;        ///< the peers are in the message
-  std::uint32_t digest = 0;  ///< of the peers, as DigestOf(Hello)
-  std::uint32_t part = 0;    ///< of a list that is sent in parts, from 0
-  std::uint32_t parts = 1;
-  base::Duration every{};  ///< until the balancer's next hello, while nothing changes
-  /// Agents of the service whose process has started anew a moment ago, and that the balancer knew
-  /// before: their targets may hold flows which an earlier process opened. At most kMaxRestarted.
+  bool listed = true;        ///< whether the message contains the peers
+  std::uint32_t digest = 0;  ///< of the peers, see DigestOf(Hello)
+  std::uint32_t part = 0;    ///< index of this part of the list, from 0
+  std::uint32_t parts = 1;   ///< number of parts of the list
+  base::Duration every{};    ///< until the balancer's next hello, while nothing changes
+  /// Agents of the service that the balancer knew before and whose process has restarted recently:
+  /// their targets may hold flows that an earlier process opened. At most kMaxRestarted.
   std::vector<Address> restarted{};
   /// The platform's revision of the configuration that the sender has in force; 0: none. A balancer
-  /// that has an older one reads it, an agent that keeps a copy asks for it.
+  /// that has an older one fetches it, and an agent that keeps a copy requests it.
   std::uint64_t revision = 0;
-  DrainedDomains drained{};  ///< as the sender knows them
-  /// To a balancer: agents whose machines the sender has found out of reach, kMaxOutOfReach of
-  /// them.
+  DrainedDomains drained{};  ///< as known to the sender
+  /// To a balancer: agents whose machines the sender itself has found unreachable, at most
+  /// kMaxOutOfReach.
   std::vector<Address> out_of_reach{};
-  /// To a balancer: when this was sent, the platform had said this long ago that there is nothing
-  /// newer than `revision` and `drained`; nothing where that is not known.
+  /// To a balancer: time between the platform's last confirmation that nothing is newer than
+  /// `revision` and `drained`, and the sending of this message; nullopt if unknown.
   std::optional<base::Duration> confirmed_ago{};
-  std::uint32_t mark = 0;            ///< to a balancer: of the sender's clock
-  std::optional<base::Echo> echo{};  ///< to a balancer: of the last mark that came from it
-  /// To an agent: openings a second that a target of its service bears while it is cold; 0: as many
-  /// as it has places for.
+  std::uint32_t mark = 0;            ///< to a balancer: time mark of the sender's clock
+  std::optional<base::Echo> echo{};  ///< to a balancer: echo of the last mark received from it
+  /// To an agent: openings a second that a cold target of its service can take; 0: limited only by
+  /// the target's slots.
   std::uint32_t cold_per_second = 0;
-  /// To a balancer: another one that has the sender's configuration, and can be asked for it in the
-  /// sender's place; 0: none is known. Each receiver is told of another one.
+  /// To a balancer: another balancer that has the sender's configuration and can be asked for it
+  /// instead of the sender; 0: none is known. Each receiver is given a different one.
   Address holder = 0;
   bool platform_silent = false;  ///< to an agent: the platform has answered no balancer lately
-  std::uint32_t balancers = 0;   ///< to a balancer: that the sender hears of, itself included
+  std::uint32_t balancers = 0;   ///< to a balancer: number that the sender knows, itself included
 };
 
-/// Agents that a hello names as started anew, the rest of a datagram: beyond that their targets are
-/// not told apart, and `complete` is false.
+/// Maximum number of restarted agents in a hello; they fill the rest of a datagram. If there are
+/// more, the hello names none of them and `complete` is false.
 inline constexpr auto kMaxRestarted = std::size_t{300};
 
-/// Agents that a hello to a balancer names as out of reach, beside hearsay in one datagram. Others
-/// each balancer finds itself, a second later.
+/// Maximum number of unreachable agents in a hello to a balancer, so that they fit into one
+/// datagram together with gossip. Each balancer finds any others itself, a second later.
 inline constexpr auto kMaxOutOfReach = std::size_t{200};
 
-/// Most parts of a list.
+/// Maximum number of parts of a list.
 inline constexpr auto kMaxHelloParts = std::uint32_t{64};
 
 /// Digest of a hello's peers; never 0.
 auto DigestOf(const Hello& hello) -> std::uint32_t;
 
-/// From an agent to the balancer that sent a flow's packet: the flow is here. Its opening came by
-/// way of other agents, or the agent had to ask its target.
+/// Sent by an agent to the balancer that forwarded a flow's packet: the agent's target holds the
+/// flow. The agent sends it if other agents passed the opening on to it, or if it had to ask its
+/// target.
 ///
-/// Safeguard: the balancer would send the client's next packets to the agent that passed the
-/// opening on, whose target gives each of them back.
+/// Safeguard: without it the balancer would send the client's next packets to the agent that passed
+/// the opening on, whose target returns each of them.
 struct Located {
   Address agent = 0;
   FlowId flow;
 };
 
-/// From an agent to the balancer that sent it: a packet of a flow that its target does not take.
+/// A packet that an agent returns to the balancer that sent it, because the agent's target does not
+/// accept packets of its flow.
 struct GivenBack {
   Address agent = 0;
-  /// The target does not hold the flow; otherwise the agent withheld the packet, and the target may
-  /// hold the flow half open.
+  /// True: the target does not hold the flow. False: the agent withheld the packet, and the target
+  /// may hold the flow half open.
   bool by_target = false;
-  /// The packet, at most kMaxGivenBack; or its flow, where the balancer keeps it.
+  /// The packet, at most kMaxGivenBack bytes, or only its flow if the balancer keeps the packet.
   std::variant<std::vector<std::uint8_t>, FlowId> packet;
 };
 
-/// The longest packet, header and payload, with room to spare.
+/// Maximum size of a returned packet in bytes, header and payload. It exceeds the longest packet.
 inline constexpr auto kMaxGivenBack = std::size_t{1400};
 
 using Control = std::variant<Hello, TargetReport, Located, FlowQuery, FlowAnswer, GivenBack>;
 
 auto EncodeControl(const Control& control) -> std::string;
 
-/// Nothing for bytes that aren't a control datagram. `sender` is the address that it came from.
+/// Returns nullopt for bytes that are not a valid control datagram. `sender` is the address that
+/// the datagram came from.
 auto DecodeControl(std::span<const std::uint8_t> bytes, Address sender) -> std::optional<Control>;
 
 }  // namespace anvildrum::packets
--- a/src/packets/hearsay.h
+++ b/src/packets/hearsay.h
@@ -7,47 +7,50 @@
 #include "packets/control.h"
 #include "packets/view.h"
 
-/// What balancers tell each other of the agents that they know to be live, for those that the
-/// platform turns away or tells late.
+/// Gossip: balancers tell each other which agents are live, because the platform may reject a
+/// balancer's requests or notify it late.
 namespace anvildrum::packets {
 
-/// Agents in one message: with what else a hello says, kMostDrained domains among it, no datagram
-/// is longer than an Ethernet frame.
+/// Maximum number of agents in one message. Together with the other contents of a hello, including
+/// kMostDrained domains, no datagram is longer than an Ethernet frame.
 inline constexpr auto kMaxGossipPeers = std::size_t{75};
 
-/// Agents that each message repeats of those that have been known for longer, in turn: what was
-/// lost comes again, all of 200 within ten seconds.
+/// Number of agents that are no longer new and that each message repeats, round robin. Lost entries
+/// are thus sent again, all of 200 agents within ten seconds.
 inline constexpr auto kGossipRepeats = std::size_t{20};
 
-/// How long an agent counts as new once it has been told of: three messages, of which two may be
-/// lost.
+/// Time for which an agent counts as new after its first announcement: three messages, two of which
+/// may be lost.
 inline constexpr auto kGossipNewFor = base::seconds{3};
 
-/// What the regular messages have told so far.
+/// Tracks what the regular messages have announced so far.
 struct GossipState {
-  std::unordered_map<Address, base::TimePoint> announced_at;  ///< live agents, and since when
-  std::size_t next_repeat = 0;  ///< where agents that are told of again go on
+  std::unordered_map<Address, base::TimePoint>
+      announced_at;             ///< live agents, time of the first announcement
+  std::size_t next_repeat = 0;  ///< index at which the repeats continue
 };
 
-/// To a balancer that knows nobody yet: all live agents, in parts.
+/// Returns all live agents, in parts, for a balancer that knows no agent yet.
 auto FullGossip(const View& view, base::TimePoint now) -> std::vector<Hello>;
 
-/// The regular message: agents that are new, those first that no message has told of since they
-/// came to life, and some of the others.
+/// Returns the next regular message: new agents, starting with those that no message has announced
+/// since they became live, and kGossipRepeats of the others.
 ///
-/// Safeguard: a balancer that others name as their seed tells each of them once a second. With all
-/// agents in each message its link is filled by what did not change.
-auto NextGossip(const View& view, GossipState& turn, base::TimePoint now) -> Hello;
+/// Safeguard: a balancer that others use as a seed sends each of them a message once a second. With
+/// all agents in each message, unchanged entries would fill its link.
+auto NextGossip(const View& view, GossipState& state, base::TimePoint now) -> Hello;
 
-/// The message in parts that fit into a frame each: agents out of reach go apart from a list that
-/// leaves them no room.
+/// Splits the message into parts that each fit into a frame. Unreachable agents are sent separately
+/// if the list of peers leaves no room for them.
 ///
-/// Safeguard: a message that is longer than a frame is dropped, and with it what it confirms. A
-/// failure domain is out of reach just when the others' agents start again.
+/// Safeguard: a message that is longer than a frame is dropped, and the confirmation of the
+/// configuration in it is lost. Both lists can be long at once: a failure domain may be unreachable
+/// while the agents of the others restart.
 auto SplitIntoFrames(const Hello& message) -> std::vector<Hello>;
 
-/// Agents that this balancer has found out of reach, at most kMostOutOfReach. What others have told
-/// is not told on: it would outlive its cause among balancers that repeat each other.
+/// Returns the agents that this balancer itself has found unreachable, at most kMaxOutOfReach.
+/// Agents that only other balancers reported are left out: balancers that repeat each other would
+/// keep the report alive after its cause has gone.
 auto OutOfReach(const View& view, base::TimePoint running_since, base::TimePoint now)
     -> std::vector<Address>;
 
--- a/src/packets/hello.h
+++ b/src/packets/hello.h
@@ -10,36 +10,36 @@
 #include "packets/balancer.h"
 #include "packets/control.h"
 
-/// What a balancer says to the agents that it knows.
+/// Builds the hellos that a balancer sends to its agents.
 namespace anvildrum::packets {
 
-/// Agents in one hello to an agent: with 7 bytes each at most it stays below 1,300 bytes, so that
-/// no datagram is longer than an Ethernet frame. kMaxHelloParts of them are 11,520 agents of a
-/// service.
+/// Maximum number of agents in one hello to an agent. At up to 7 bytes each the hello stays below
+/// 1,300 bytes, so that no datagram is longer than an Ethernet frame. kMaxHelloParts parts hold
+/// 11,520 agents of a service.
 inline constexpr auto kAgentsInHello = std::size_t{180};
 
-/// To the agents of one service.
+/// The hellos to the agents of one service.
 struct ServiceHello {
   Hello brief;                ///< without the list
-  std::vector<Hello> listed;  ///< the list, in parts, for agents that ask for it
+  std::vector<Hello> listed;  ///< the list, in parts, for agents that request it
 };
 
-/// To each agent the live agents of its own service: the set along which agents pass openings on,
-/// and the one that this balancer asks for flows.
+/// Returns the hellos by service. Each lists the agents of the service that may hold flows: agents
+/// pass openings on among these, and this balancer queries the same set for flows.
 auto MakeHellos(const Balancer& balancer, base::TimePoint now)
     -> std::map<base::ServiceId, ServiceHello>;
 
-/// The parts of the list that the report asks for; none where it asks for none, or for another one
-/// than `hellos` name.
+/// Returns the parts of the list that the report requests. The result is empty if the report
+/// requests none, or a list other than the one in `hellos`. It refers to `hellos`.
 auto WantedParts(const std::map<base::ServiceId, ServiceHello>& hellos, const TargetReport& report)
     -> std::span<const Hello>;
 
-/// The hello in parts of kAgentsInHello peers; one part where it fits. Peers beyond kMaxHelloParts
-/// are left out, and `complete` is false then.
+/// Splits the hello into parts of kAgentsInHello peers; there is always at least one part. Peers
+/// beyond kMaxHelloParts parts are left out, and `complete` is then false in every part.
 ///
-/// Safeguard: a list that is longer than a datagram never leaves its balancer. Agents of a service
-/// of 170 then knew no other, and packets of flows that nobody remembered reached nobody:
-/// an established flow was silent as soon as its packets came by another balancer.
+/// Safeguard: a list that is longer than a datagram cannot be sent. In a service of 170 agents,
+/// none knew any other, and packets of flows that no instance remembered were delivered to none: an
+/// established flow stalled as soon as its packets arrived by another balancer.
 auto SplitHello(const Hello& hello) -> std::vector<Hello>;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/control.cc
+++ b/src/packets/internal/control.cc
@@ -156,7 +156,7 @@
   return DrainedOf(message.revision(), std::move(domains));
 }
 
-// The peers of a hello to an agent, each with its domain.
+// Reads the peers of a hello to an agent, each with its domain. Returns false if they are invalid.
 auto ReadAgents(const pb::Hello& message, Hello& hello) -> bool {
   if (message.domains_size() != message.agents_size()) return false;
   for (auto i = 0; i < message.agents_size(); ++i) {
@@ -220,7 +220,7 @@
                       .drained = *drained};
 }
 
-// Inverse of KeyOf; nothing for numbers that are no address and port.
+// Inverse of KeyOf; returns nullopt for numbers that are not an address and port.
 auto EndOf(std::uint64_t number) -> std::optional<End> {
   constexpr auto bits = 48U;
   if (number >> bits != 0) return std::nullopt;
@@ -264,7 +264,7 @@
                    std::vector<std::uint8_t>{datagram.begin(), datagram.end()}};
 }
 
-// A message as the control that it holds, where it is one.
+// Wraps a decoded message as a Control; nullopt stays nullopt.
 template <typename Message>
 auto AsControl(const std::optional<Message>& message) -> std::optional<Control> {
   if (!message) return std::nullopt;
--- a/src/packets/internal/greeting.cc
+++ b/src/packets/internal/greeting.cc
@@ -13,7 +13,8 @@
   return std::max(policy.period, round);
 }
 
-// Suspected members first: each check without their answer counts.
+// Sort key; the smallest comes first. Suspected members precede the others, because each check
+// without their answer delays the decision about them.
 auto HelloPriority(const Member& member) -> std::tuple<bool, base::TimePoint, Address> {
   return {member.suspected_at == base::TimePoint{}, member.greeted_at, member.agent};
 }
--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/hearsay.cc
@@ -8,11 +8,11 @@
 
 constexpr auto kMaxNewPeers = kMaxGossipPeers - kGossipRepeats;
 
-// Of a message that is sent, at most.
+// Maximum size of an encoded entry.
 constexpr auto kPeerBytes = std::size_t{15};
 constexpr auto kAddressBytes = std::size_t{4};
 
-// In the order of their addresses.
+// Returns the live agents, sorted by address.
 auto LivePeers(const View& view, base::TimePoint now) -> std::vector<Peer> {
   auto peers = std::vector<Peer>{};
   for (const auto& [agent, member] : view.members) {
@@ -23,14 +23,14 @@
   return peers;
 }
 
-auto EraseSilent(GossipState& turn, const View& view, base::TimePoint now) -> void {
-  std::erase_if(turn.announced_at, [&](const auto& told) {
+auto EraseSilent(GossipState& state, const View& view, base::TimePoint now) -> void {
+  std::erase_if(state.announced_at, [&](const auto& told) {
     const auto member = view.members.find(told.first);
     return member == view.members.end() || !IsAlive(view, member->second, now);
   });
 }
 
-// Takes up to `most` of `peers` into the message, from `from` on and round.
+// Appends up to `most` of `peers` to the message, starting at `from` and wrapping around.
 auto Append(Hello& hello, std::span<const Peer> peers, std::size_t from, std::size_t most) -> void {
   for (auto i = std::size_t{0}; i < std::min(most, peers.size()); ++i) {
     hello.peers.push_back(peers[(from + i) % peers.size()]);
@@ -51,14 +51,14 @@
   return parts;
 }
 
-auto NextGossip(const View& view, GossipState& turn, base::TimePoint now) -> Hello {
-  EraseSilent(turn, view, now);
+auto NextGossip(const View& view, GossipState& state, base::TimePoint now) -> Hello {
+  EraseSilent(state, view, now);
   auto untold = std::vector<Peer>{};
   auto recent = std::vector<Peer>{};
   auto others = std::vector<Peer>{};
   for (const auto& peer : LivePeers(view, now)) {
-    const auto told = turn.announced_at.find(peer.agent);
-    if (told == turn.announced_at.end()) {
+    const auto told = state.announced_at.find(peer.agent);
+    if (told == state.announced_at.end()) {
       untold.push_back(peer);
     } else {
       (now - told->second < kGossipNewFor ? recent : others).push_back(peer);
@@ -66,10 +66,10 @@
   }
   auto hello = Hello{};
   Append(hello, untold, 0, kMaxNewPeers);
-  for (const auto& peer : hello.peers) turn.announced_at[peer.agent] = now;
+  for (const auto& peer : hello.peers) state.announced_at[peer.agent] = now;
   Append(hello, recent, 0, kMaxNewPeers - hello.peers.size());
-  Append(hello, others, turn.next_repeat, kGossipRepeats);
-  turn.next_repeat = others.empty() ? 0 : (turn.next_repeat + kGossipRepeats) % others.size();
+  Append(hello, others, state.next_repeat, kGossipRepeats);
+  state.next_repeat = others.empty() ? 0 : (state.next_repeat + kGossipRepeats) % others.size();
   return hello;
 }
 
--- a/src/packets/internal/newer_configuration.cc
+++ b/src/packets/internal/newer_configuration.cc
@@ -7,41 +7,44 @@
 
 using Source = ConfigurationSource;
 
-// Questions for a newer configuration, after which the regular reads tell what there is.
+// Maximum number of requests for a newer configuration. After these, only the regular reads follow.
 constexpr auto kMaxRequests = 8U;
 
-// Questions that go to copies of the platform's state first, which are cheaper and may be behind.
+// Number of first requests that go to copies of the platform's state, which are cheaper to read but
+// may be out of date.
 constexpr auto kMaxCopyRequests = 2U;
 
-// Seeds tell all others: what they have is not to be late by the age of a copy. A copy that is
-// behind sends all of its bytes for nothing: where these took long, none is asked again.
+// Returns how many requests go to copies. A seed asks none, since it informs all other balancers
+// and must not lag by the age of a copy. An outdated copy wastes all the bytes that it sends, so
+// that no second one is asked if the first answer took long.
 auto CopyRequests(const NewerConfiguration& newer, const ConfigurationRequestContext& basis)
     -> unsigned {
   if (basis.is_seed) return 0;
   return newer.first_answer_was_slow ? 1 : kMaxCopyRequests;
 }
 
-// Whom the n-th question goes to, from 1. After the copies the platform itself, since all others
-// hear of the new version from a few balancers at the same moment, and serving them would fill the
-// links of these.
+// Returns the source of the n-th request, counted from 1. After the copies comes the platform
+// itself, since all balancers learn of the new version from a few others at the same moment, and
+// serving everyone would fill the links of those few.
 auto SourceOf(unsigned ask, unsigned copies) -> Source {
   if (ask <= copies) return Source::kCopy;
   return (ask - copies) % 2 == 1 ? Source::kPlatform : Source::kBalancer;
 }
 
-// The same of a balancer that the platform has turned away.
+// Returns the source of the n-th request of a balancer that the platform rejects.
 //
-// Safeguard: it would ask the platform several times for each version, in vain, and a refused call
-// costs as much as an answered one.
+// Safeguard: such a balancer would ask the platform in vain several times for each version, and a
+// refused call costs as much as an answered one.
 auto SourceWhileRejected(unsigned ask) -> Source {
   return ask % 4 == 0 ? Source::kCopy : Source::kBalancer;
 }
 
-// How long the platform and other balancers are asked alone: either answers within some
-// milliseconds where it can, and has the newest.
+// Time after the start during which only the platform and other balancers are asked: either answers
+// within some milliseconds if it can, and has the newest configuration.
 constexpr auto kAskAgentsAfter = base::milliseconds{500};
 
-// From when on an older configuration is better than none: whoever has a newer one may have gone.
+// Time after the start from which an older configuration is accepted, because the instance with a
+// newer one may have gone.
 constexpr auto kTakeOlderAfter = base::milliseconds{1500};
 
 }  // namespace
@@ -67,7 +70,7 @@
     if (newer->requests == 1) newer->first_answer_was_slow = true;
     return std::nullopt;
   }
-  // The one that said so may have gone, and the platform may have been set back to an older state.
+  // The holder may have gone, and the platform may have been restored to an older state.
   if (++newer->requests > kMaxRequests) {
     newer.reset();
     return std::nullopt;
--- a/src/packets/internal/order.cc
+++ b/src/packets/internal/order.cc
@@ -8,8 +8,8 @@
 namespace anvildrum::packets {
 namespace {
 
-// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): a few nanoseconds an agent, where a
-// general hash took most of the time of a packet that nobody remembers.
+// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014). It takes a few nanoseconds per agent,
+// whereas a general hash took most of the processing time of a packet of an unknown flow.
 auto Mix(std::uint64_t value) -> std::uint64_t {
   value += 0x9e3779b97f4a7c15U;
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -24,7 +24,7 @@
 // Distinguishes domains from agents in weights.
 constexpr auto kDomainSalt = std::uint64_t{1} << 48U;
 
-// A place in a flow's order; higher ranks come first.
+// Position of an agent in a flow's order; higher ranks come first.
 struct Rank {
   std::uint64_t domain = 0;
   std::uint64_t weight = 0;
@@ -42,7 +42,7 @@
   return rank;
 }
 
-// The highest rank below `own`, or else the highest of all others.
+// Returns the agent with the highest rank below that of `own`, or else the highest of all others.
 template <typename RankOf>
 auto NextBy(RankOf rank_of, std::span<const Place> agents, const Place& own) -> Address {
   const auto own_rank = rank_of(own);
--- a/src/packets/newer_configuration.h
+++ b/src/packets/newer_configuration.h
@@ -6,58 +6,57 @@
 #include "base/types/time.h"
 #include "packets/types/packet.h"
 
-/// Whom a balancer asks for a configuration that another one has in force.
+/// Chooses the source from which a balancer requests a configuration that another balancer already
+/// has in force.
 namespace anvildrum::packets {
 
-/// Who is asked.
 enum class ConfigurationSource : std::uint8_t {
-  kCopy,      ///< of the platform's state, which may be behind
-  kPlatform,  ///< its newest state
-  kBalancer,  ///< that has it
+  kCopy,      ///< a copy of the platform's state, which may be out of date
+  kPlatform,  ///< the platform, which has the newest state
+  kBalancer,  ///< a balancer that has the configuration in force
 };
 
-/// A configuration that another process has, newer than the own one.
+/// A configuration that another instance has and that is newer than this balancer's own.
 struct NewerConfiguration {
-  Address holder = 0;  ///< who has it
+  Address holder = 0;  ///< the balancer that has it
   std::uint64_t revision = 0;
-  base::TimePoint asked_at{};  ///< for it, the last time
-  unsigned requests = 0;       ///< so far
-  bool first_answer_was_slow =
-      false;  ///< its answer was still coming when the next question was due
+  base::TimePoint asked_at{};          ///< time of the last request for it
+  unsigned requests = 0;               ///< sent so far
+  bool first_answer_was_slow = false;  ///< still arriving when the next request was due
 };
 
-/// What the next question depends on.
+/// Inputs for the choice of the next source.
 struct ConfigurationRequestContext {
   std::uint64_t revision = 0;  ///< of the configuration that is in force here
-  bool is_seed = false;        ///< others hear of changes from this balancer
+  bool is_seed = false;        ///< other balancers learn of changes from this one
   bool turned_away = false;    ///< the platform has not answered this balancer
-  bool answer_coming = false;  ///< to a question or to a read of the configuration
-  base::Duration every{};      ///< between two questions
+  bool answer_coming = false;  ///< an answer to a request or regular read is arriving
+  base::Duration every{};      ///< time between two requests
 };
 
-/// Takes what another balancer says: `holder` has this revision in force. True where a question for
-/// it is due at once.
+/// Records that the balancer `holder` has this revision in force. Returns true if the revision
+/// should be requested at once.
 auto NoteNewer(std::optional<NewerConfiguration>& newer, Address holder, std::uint64_t revision,
                std::uint64_t own_revision) -> bool;
 
-/// Who is asked now; nothing where no question is due. Counts the question as asked.
+/// Returns the source to ask now and counts the request as sent; nullopt if none is due.
 ///
-/// Safeguard: answers that come at the same time share the link, and each takes as much longer. A
-/// question is due only once the answer that is coming has ended.
+/// Safeguard: answers that arrive at the same time share the link, and each takes correspondingly
+/// longer. The next request is therefore due only once the current answer is complete.
 auto NextConfigurationSource(std::optional<NewerConfiguration>& newer,
                              const ConfigurationRequestContext& basis, base::TimePoint now)
     -> std::optional<ConfigurationSource>;
 
-/// What agents have said that they keep, to a balancer that has no configuration.
+/// Copies of the configuration that agents offer to a balancer that has none.
 struct KeptConfigurations {
-  std::uint64_t newest = 0;  ///< revision
+  std::uint64_t newest = 0;  ///< newest revision offered
 };
 
-/// Takes what an agent says to a balancer that has been running for this long. True where the agent
-/// is to be asked for it.
+/// Records that an agent keeps a copy of this revision; `running_for` is how long the balancer has
+/// been running. Returns true if the balancer should request the copy.
 ///
-/// Safeguard: an agent that kept the configuration once offers what it had then. Asked because it
-/// was the first to report, it puts a configuration in force that was replaced long ago.
+/// Safeguard: an agent may offer a copy that it stored long ago. If the first agent to report were
+/// asked at once, a configuration that was replaced long ago could come into force.
 auto NoteKeptConfiguration(KeptConfigurations& kept, std::uint64_t revision,
                            base::Duration running_for) -> bool;
 
--- a/src/packets/order.h
+++ b/src/packets/order.h
@@ -8,24 +8,24 @@
 
 namespace anvildrum::packets {
 
-/// The agents in the rendezvous order of a flow (highest random weight), the same on every instance
-/// that knows the same agents, in whatever order it lists them. Failure domains are ordered by
-/// their weights and agents within their domain, so that one domain comes after the other. The
-/// order begins with the agents of `first`, where it is one of them.
+/// Returns the agents in the rendezvous order (highest random weight) of a flow. The order is the
+/// same on every instance that knows the same agents and does not depend on their order in
+/// `agents`. Failure domains are ordered by weight, and so are the agents within each domain, which
+/// stay together. The order starts with the domain `first` if any agent belongs to it.
 ///
-/// An opening is placed among the first few of this order, so that a balancer that does not
-/// remember a flow finds it by a question to as many agents. Clients' packets come by balancers of
-/// their own domain, so that these begin alike.
+/// An opening is placed among the first few agents of this order, so that a balancer that does not
+/// remember a flow finds it by querying that many agents. Clients' packets arrive by balancers of
+/// the clients' own domain, which therefore use the same first domain.
 auto RendezvousOrder(const FlowId& flow, std::span<const Place> agents, DomainTag first = 0)
     -> std::vector<Address>;
 
-/// Digest of a set of agents; never 0. `agents` in the order of their addresses.
+/// Digest of a set of agents; never 0. `agents` must be sorted by address.
 auto DigestOf(std::span<const Place> agents) -> std::uint32_t;
 
-/// The agent after `own` in a cyclic order of the flow that does not look at failure domains: an
-/// opening that found no place in one domain finds the others just as full there, but perhaps not
-/// elsewhere. `own` takes its place in the order also where it isn't listed. 0 when there is no
-/// other.
+/// Returns the agent after `own` in a cyclic order of the flow that ignores failure domains: if a
+/// target in one domain is full, the others there are likely full too, but those of other domains
+/// may not be. `own` has its place in the order even if `agents` does not contain it. Returns 0 if
+/// there is no other agent.
 auto NextAnywhere(const FlowId& flow, std::span<const Place> agents, const Place& own) -> Address;
 
 }  // namespace anvildrum::packets
