--- a/src/packets/tests/control_test.cc
+++ b/src/packets/tests/control_test.cc
@@ -28,8 +28,9 @@
   BOOST_TEST(std::get<Hello>(*read).parts == 3U);
 }
 
-// What an operator wants travels in hellos and reports. Domains beyond kMostDrained are left out:
-// the rest still fits into a frame, and balancers go by what they have read.
+// Hellos and reports carry the domains that an operator has drained. Domains beyond kMostDrained
+// are left out so that the message fits into a frame; balancers rely on the list that they have
+// read.
 BOOST_AUTO_TEST_CASE(drained_domains_and_confirmations_come_back) {
   constexpr auto frame = std::size_t{1400};
   auto hello = Hello{};
@@ -53,7 +54,7 @@
   BOOST_TEST((std::get<TargetReport>(*report).drained == DrainedOf(5, {7, 9})));
 }
 
-// What is rounded is told older than it is, never newer.
+// Rounding may make a confirmation look older than it is, never newer.
 BOOST_AUTO_TEST_CASE(marks_come_back_and_ages_are_rounded_to_the_older_side) {
   auto hello = Hello{};
   hello.confirmed_ago = base::microseconds{1'001};
@@ -87,8 +88,8 @@
   BOOST_TEST((std::get<Hello>(*read).peers == peers));
 }
 
-// A service has more agents than one datagram can list. Each part has to fit into a frame, and
-// together they name every agent: one that is left out would pass packets on to nobody.
+// A service has more agents than one datagram can list. Each part must fit into a frame, and
+// together the parts must name every agent, since an agent without a list cannot pass packets on.
 BOOST_AUTO_TEST_CASE(a_long_list_is_sent_in_parts_that_fit_into_frames) {
   constexpr auto frame = std::size_t{1400};
   auto hello = Hello{base::ServiceId{7}, {}, true};
@@ -115,8 +116,8 @@
   BOOST_TEST(!parts.front().complete);
 }
 
-// Half of a large service has started again: a list of those that does not fit into a datagram must
-// not be taken for one of all of them, or flows that they hold would be reset.
+// Half of a large service has restarted. A list of restarted agents that does not fit into a
+// datagram must not be treated as complete, or flows that the others hold would be reset.
 BOOST_AUTO_TEST_CASE(more_restarted_agents_than_can_be_named_leave_a_list_incomplete) {
   constexpr auto service = base::ServiceId{7};
   constexpr auto now = base::TimePoint{base::seconds{1000}};
@@ -144,7 +145,7 @@
   }
 }
 
-// Both would be longer than any datagram that another balancer or agent of ours sends.
+// Both are longer than any datagram that a balancer or agent sends.
 BOOST_AUTO_TEST_CASE(questions_and_packets_that_are_too_long_are_refused) {
   auto query = FlowQuery{base::ServiceId{7}, 1, std::vector<FlowId>(kFlowsInQuery)};
   BOOST_TEST(RoundTrip(query).has_value());
--- a/src/packets/tests/greeting_test.cc
+++ b/src/packets/tests/greeting_test.cc
@@ -35,7 +35,7 @@
                this->now);
   }
 
-  /// Checks for this long. Hellos to each agent.
+  /// Runs the checks for this time and returns the number of hellos to each agent.
   auto Run(base::Duration duration) -> std::map<Address, std::size_t> {
     auto hellos = std::map<Address, std::size_t>{};
     for (const auto end = this->now + duration; this->now < end; this->now += kCheck) {
@@ -66,8 +66,8 @@
   for (const auto& [agent, count] : hellos) BOOST_TEST(count == 8U);
 }
 
-// Every balancer greets every agent. At four hellos a second each, 1,000 agents would take 8,000
-// datagrams a second of a balancer whatever its clients do, more than it has processor time for.
+// Every balancer sends hellos to every agent. At four hellos a second each, 1,000 agents would cost
+// a balancer 8,000 datagrams a second even without traffic, more than it has processor time for.
 BOOST_AUTO_TEST_CASE(hellos_a_second_do_not_grow_with_the_agents) {
   for (const auto agents : {Address{65}, Address{200}, Address{1000}}) {
     auto rig = Rig{agents};
@@ -81,8 +81,8 @@
   }
 }
 
-// Targets are replaced one after the other, so that the set of agents changes at every check. Told
-// of each change at once, 204 agents took 4,080 hellos a second of each balancer.
+// Targets are replaced one after the other, so that the set of agents changes at every check. When
+// each change was announced at once, each balancer sent 4,080 hellos a second to 204 agents.
 BOOST_AUTO_TEST_CASE(changes_at_every_check_keep_hellos_within_their_bound) {
   auto rig = Rig{200};
   auto most = std::size_t{0};
@@ -95,8 +95,8 @@
   BOOST_TEST(most == HelloPolicy{}.max_per_check);
 }
 
-// What has changed reaches every agent in as many checks as the bound allows, and none is left out
-// for others that are due again.
+// A change reaches every agent in as few checks as the bound allows. No agent is delayed by others
+// to which another hello is already due.
 BOOST_AUTO_TEST_CASE(a_change_is_told_to_all_within_two_checks_of_200_agents) {
   auto rig = Rig{200};
   rig.Run(seconds{5});
@@ -105,8 +105,8 @@
   BOOST_TEST(hellos.size() == 200U);
 }
 
-// An agent that left an opening without an answer is asked at the next check, and at each until it
-// answers: a lost datagram must not take openings from a live agent for a period of greeting.
+// An agent that did not answer an opening is sent a hello at each check until it answers. Otherwise
+// one lost datagram would keep openings from a live agent for a whole hello period.
 BOOST_AUTO_TEST_CASE(a_suspected_agent_is_asked_at_once) {
   auto rig = Rig{200};
   rig.Run(seconds{5});
--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -37,15 +37,15 @@
   return named;
 }
 
-// Messages until each live agent has been told of.
+// Builds messages until each live agent has been announced.
 auto TellAll(const View& view, GossipState& turn, base::TimePoint now) -> void {
   for (auto i = std::size_t{0}; i <= view.members.size() / kMostNew; ++i) {
     NextGossip(view, turn, now);
   }
 }
 
-// A balancer starts while the platform is away, and knows nobody. Beyond 90 agents it learned of
-// the others a part a second, and placed all openings on those that it knew.
+// A balancer starts while the platform is unavailable and knows no agent. With more than 90 agents
+// it learned of the others one part a second and placed all openings on those that it knew.
 BOOST_AUTO_TEST_CASE(a_balancer_that_knows_nobody_is_told_of_all_at_once) {
   const auto view = ViewOf(2 * kMaxGossipPeers + 1);
   const auto parts = FullGossip(view, kStart);
@@ -59,8 +59,8 @@
   BOOST_TEST(FullGossip(View{}, kStart).empty());
 }
 
-// An agent has started and reported here alone: it is named in the next messages whatever their
-// turn is, and agents that have been silent are not.
+// An agent has started and reported only to this balancer. The next messages name it independently
+// of the round robin, and they do not name silent agents.
 BOOST_AUTO_TEST_CASE(a_new_agent_is_told_of_in_the_next_messages) {
   auto view = ViewOf(200);
   auto turn = GossipState{};
@@ -76,8 +76,8 @@
   }
 }
 
-// A release or a return of power makes more agents new than one message holds. Those that did not
-// fit came up in the turn of all others: on a large site after minutes.
+// After a release or a power failure more agents are new than one message holds. Those that did not
+// fit were announced in the round robin of all others, which took minutes on a large site.
 BOOST_AUTO_TEST_CASE(all_new_agents_are_told_of_by_full_messages) {
   for (const auto agents : {kMostNew + 1, 2 * kMostNew + 1, 3 * kMostNew + 1, std::size_t{2000}}) {
     auto view = ViewOf(static_cast<Address>(agents));
@@ -95,9 +95,9 @@
   }
 }
 
-// A failure domain was cut off and is back: what others have not heard of its agents meanwhile they
-// are told as of new ones, all within the time of full messages. Its records were known all the
-// while.
+// A failure domain was cut off and is reachable again, while its records stayed known. Its agents
+// must be announced as new ones are, as fast as full messages allow, since other balancers have not
+// heard of them meanwhile.
 BOOST_AUTO_TEST_CASE(agents_that_come_back_to_life_are_told_of_as_new) {
   constexpr auto agents = Address{2 * kMostNew + 1};
   auto view = View{};
@@ -114,7 +114,7 @@
   BOOST_TEST(named.size() == agents);
 }
 
-// All agents are told of again in turn, and all of a small site each time.
+// All agents are repeated round robin; on a small site each message names all of them.
 BOOST_AUTO_TEST_CASE(all_agents_are_told_of_again_in_turn) {
   for (const auto agents : {Address{10}, Address{90}, Address{201}}) {
     auto view = ViewOf(agents);
@@ -130,7 +130,7 @@
   }
 }
 
-// All that a hello between balancers says, and as many domains drained as there may be.
+// Returns a hello between balancers with all fields set and the maximum number of drained domains.
 auto FullHello() -> Hello {
   auto hello = FullGossip(ViewOf(2 * kMaxGossipPeers), kStart).front();
   BOOST_TEST(hello.peers.size() == kMaxGossipPeers);
@@ -144,14 +144,14 @@
   return hello;
 }
 
-// A message with all that a hello between balancers says, and some domains drained, is longer than
-// a frame, and the network drops or cuts it.
+// A hello between balancers with all fields set and some drained domains could be longer than a
+// frame, and the network would drop or truncate it.
 BOOST_AUTO_TEST_CASE(a_full_message_fits_into_a_frame) {
   BOOST_TEST(EncodeControl(FullHello()).size() <= kFrame);
 }
 
-// A failure domain is out of reach while the agents of another one start: both lists together are
-// longer than a frame, and with the message its confirmation of the configuration was lost.
+// A failure domain is unreachable while the agents of another one start. Both lists together are
+// longer than a frame; the message was lost, and with it the confirmation of the configuration.
 BOOST_AUTO_TEST_CASE(agents_out_of_reach_go_apart_from_a_full_list) {
   for (const auto peers : {std::size_t{0}, kGossipRepeats, kMaxGossipPeers / 2, kMaxGossipPeers}) {
     for (const auto count : {std::size_t{1}, kMaxOutOfReach / 2, kMaxOutOfReach}) {
@@ -172,7 +172,7 @@
   }
 }
 
-// More agents are new than a message holds: the others follow in their turn.
+// More agents are new than a message holds; the others follow in later messages.
 BOOST_AUTO_TEST_CASE(more_new_agents_than_fit_do_not_make_a_message_longer) {
   const auto view = ViewOf(300);
   auto turn = GossipState{};
--- a/src/packets/tests/interleaving_events.cc
+++ b/src/packets/tests/interleaving_events.cc
@@ -1,4 +1,4 @@
-// What happens to the deployment: restarts, drains, crashes, pauses.
+// Events that happen to the deployment: restarts, drains, crashes and pauses.
 
 #include <algorithm>
 #include <utility>
@@ -10,8 +10,9 @@
 
 using base::milliseconds;
 
-// From an operator's word to the last opening in the domain, where all processes have run so long:
-// a balancer reads it within two seconds, and agents hear of it by the next check or two.
+// Maximum time from an operator's drain to the last opening in the domain, if all processes have
+// run for that time: a balancer reads the drain within two seconds, and agents learn of it one or
+// two checks later.
 constexpr auto kDrainWithin = milliseconds{3000};
 
 }  // namespace
@@ -76,8 +77,8 @@
   restarted.pause = {{}, restarted.pause.starts + 1};
 }
 
-// The target says that it drains, keeps its flows for a while, leaves and ends; another one takes
-// its place, sometimes of another service.
+// The target announces that it drains, keeps its flows for a while, leaves and ends. Another
+// target, sometimes of another service, replaces it.
 auto World::Drain(std::size_t index) -> void {
   auto& site = this->agents[index];
   if (!site.up || !site.target.alive || site.target.draining) return;
@@ -120,7 +121,7 @@
   pause.until = std::max(pause.until, until);
 }
 
-// One balancer or more reads what has changed, the others are told by agents.
+// At least one balancer reads the change; agents tell the others.
 auto World::DrainDomain() -> void {
   const auto domain = static_cast<DomainTag>(1 + this->Draw(kDomains));
   auto domains = this->drained.domains;
@@ -139,8 +140,8 @@
   }
 }
 
-// Whether an opening there breaks the operator's word. Processes that started or stood still a
-// moment ago may not know it yet.
+// Returns whether an opening at the site violates the operator's drain. Processes that started or
+// were paused a moment ago may not know of the drain yet.
 auto World::IsLongDrained(const AgentSite& site) const -> bool {
   const auto entry = this->drained_at.find(site.core.domain);
   if (entry == this->drained_at.end()) return false;
@@ -159,8 +160,8 @@
   ChangeService(site.core, service, this->now);  // the agent's settings name the new service
 }
 
-// What a target said before its end comes up to four seconds after it, perhaps when the next start
-// has been heard of: a heartbeat, and its leave.
+// A heartbeat and the leave of a target arrive up to four seconds after its end, possibly after its
+// next start has been heard of.
 auto World::SpeakLate(std::size_t index, bool leave) -> void {
   const auto& target = this->agents[index].target;
   const auto heartbeat = this->BeatOf(target, target.heartbeats + 1);
--- a/src/packets/tests/interleaving_test.cc
+++ b/src/packets/tests/interleaving_test.cc
@@ -1,7 +1,7 @@
-// Draws interleavings of restarts, drains, crashes and reused addresses, with late and lost
-// datagrams, and looks at what clients and targets see: no packet of one service at a target of
-// another, no opening at a draining target, no reset of a flow that a live target holds, and, when
-// all is calm again, every such flow served.
+// Draws random interleavings of restarts, drains, crashes and reused addresses with late and lost
+// datagrams, and checks what clients and targets see: no packet of one service reaches a target of
+// another, no opening reaches a draining target, no flow of a live target is reset, and every such
+// flow is served once the events have ended.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -16,7 +16,7 @@
 constexpr auto kFirstSeed = std::uint64_t{1};
 constexpr auto kSeeds = std::uint64_t{400};
 
-// More, by hand: ANVILDRUM_SEEDS=FIRST:COUNT.
+// The environment variable ANVILDRUM_SEEDS=FIRST:COUNT selects other seeds.
 auto Seeds() -> std::pair<std::uint64_t, std::uint64_t> {
   const auto* wanted = std::getenv("ANVILDRUM_SEEDS");
   if (wanted == nullptr) return {kFirstSeed, kSeeds};
@@ -45,13 +45,13 @@
     opened += world.opened;
     resets += world.resets;
   }
-  // The draw is worth something only if flows open and dead ones are reset.
+  // The draws only test something if flows are opened and dead flows are reset.
   BOOST_TEST(opened > 50 * count);
   BOOST_TEST(resets > count / 10);
 }
 
-// Processes that stand still wake with old datagrams in their sockets and old beliefs, and targets
-// have few slots, so that openings are passed on and refused.
+// Paused processes resume with old datagrams in their sockets and outdated state, and targets have
+// few slots, so that openings are passed on and refused.
 BOOST_AUTO_TEST_CASE(any_interleaving_with_pauses_keeps_the_promises) {
   auto refusals = std::uint64_t{0};
   const auto [first, count] = Seeds();
@@ -68,7 +68,7 @@
   return Play({.seed = seed, .pauses = seed % 2 == 0, .same_id = true});
 }
 
-// Targets start again under the id that they had, with all else as above.
+// Targets restart under the id that they had; everything else is as above.
 BOOST_AUTO_TEST_CASE(any_interleaving_of_starts_under_one_id_keeps_the_promises) {
   auto opened = std::uint64_t{0};
   const auto [first, count] = Seeds();
@@ -96,9 +96,9 @@
   BOOST_TEST(opened > 30 * count);
 }
 
-// Seeds that showed a fault. 6339: the last agent of a round was paused, and reset a flow whose
-// agent had come back meanwhile. 20736: a balancer that had been paused took an agent that was
-// paused after it for gone, and said that nobody was missing.
+// Seeds that showed a fault. 6339: the last agent of a round was paused, and then reset a flow
+// whose agent had come back meanwhile. 20736: a balancer that had been paused considered an agent
+// gone that was paused after it, and reported its list as complete.
 BOOST_AUTO_TEST_CASE(seeds_that_showed_a_fault_keep_the_promises) {
   for (const auto seed :
        {std::uint64_t{6339}, std::uint64_t{20167}, std::uint64_t{20736}, std::uint64_t{23477}}) {
@@ -107,8 +107,8 @@
   }
 }
 
-// A target had started again and taken an opening before its first heartbeat, and its agent was
-// started again at that moment: the flow that it held was reset.
+// A target had restarted and accepted an opening before its first heartbeat, and its agent was
+// restarted at that moment. The flow that the target held was reset.
 BOOST_AUTO_TEST_CASE(seeds_of_agents_younger_than_their_targets_flows_keep_the_promises) {
   for (const auto seed : {std::uint64_t{309}, std::uint64_t{3557}, std::uint64_t{3884}}) {
     const auto world = Play({.seed = seed});
@@ -116,12 +116,13 @@
   }
 }
 
-// 1: the leave of an earlier service's target came late. 4: a paused agent took its own pause for
-// the silence of a target whose leave was doubtful. 14672: the agent had heard of the earlier start
-// by its leave alone. 16623: the next start was silent before the late leave, not after it.
-// 21385: an agent that stopped had heard a heartbeat of its live target that it did
-// not believe yet, and said that there was none. 31838: an agent was paused as soon as it was back,
-// more than three seconds after it had said that it stops, and was not waited for.
+// Faults by seed. 1: the leave of an earlier service's target arrived late. 4: a paused agent
+// mistook its own pause for the silence of a target whose leave was doubtful. 14672: the agent knew
+// of the earlier start only from its leave. 16623: the next start was silent before the late leave
+// rather than after it. 21385: an agent that stopped had received a heartbeat of its live target
+// but not accepted it yet, and reported that there was no target. 31838: an agent was paused as
+// soon as it was back, more than three seconds after it had announced its stop, and was not waited
+// for.
 BOOST_AUTO_TEST_CASE(seeds_of_starts_under_one_id_that_showed_a_fault_keep_the_promises) {
   for (const auto seed :
        {std::uint64_t{1}, std::uint64_t{4}, std::uint64_t{5314}, std::uint64_t{14672},
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -39,7 +39,7 @@
   this->queue.push({this->now + delay, ++this->events, std::move(run)});
 }
 
-// A datagram: one to ten milliseconds late, or lost.
+// Delivers a datagram one to ten milliseconds late, or loses it.
 auto World::Carry(std::function<void()> run) -> void {
   if (!this->calm && this->Draw(100) < static_cast<std::uint64_t>(this->options.loss_percent)) {
     return;
@@ -47,7 +47,7 @@
   this->Later(milliseconds{1 + this->Draw(10)}, std::move(run));
 }
 
-// Runs at once, or as soon as the process goes on.
+// Runs at once, or as soon as the paused process resumes.
 auto World::WhenAwake(const Pause& pause, std::function<void()> run) -> void {
   if (pause.until <= this->now) return run();
   this->Later(pause.until - this->now, [this, &pause, starts = pause.starts, run = std::move(run)] {
@@ -125,7 +125,7 @@
   auto& target = site.target;
   if (!target.alive) return;
   const auto heartbeat = this->BeatOf(target, ++target.heartbeats);
-  if (!site.up) return;  // the call fails; the next one counts on
+  if (!site.up) return;  // the call fails; the next one continues the count
   if (TakeHeartbeat(site.core, heartbeat, this->now) != HeartbeatOutcome::kChanged) return;
   this->Record(site.core.own, target.service);
   for (auto i = std::size_t{0}; i < this->balancers.size(); ++i) {
@@ -143,7 +143,7 @@
           .slots = this->options.slots};
 }
 
-// A record is at the platform at once, and at each balancer some time later.
+// The platform has a record at once, and each balancer some time later.
 auto World::Record(Address agent, std::optional<base::ServiceId> service) -> void {
   if (service) {
     this->records[agent] = *service;
@@ -227,7 +227,7 @@
   this->ToBalancer(packet);
 }
 
-// Any balancer may receive any packet; mostly it is the same one for a flow.
+// Any balancer may receive any packet; most packets of a flow reach the same one.
 auto World::ToBalancer(const Packet& packet) -> void {
   const auto usual = HashOf(FlowFromClient(packet)) % this->balancers.size();
   const auto index = this->Draw(10) == 0 ? this->Draw(this->balancers.size()) : usual;
@@ -259,7 +259,7 @@
               [this, index, starts = site.pause.starts] { this->StepSearch(index, starts); });
 }
 
-// One step of a balancer's searches; `starts` tells whether it has been restarted since.
+// Runs one step of a balancer's searches, unless `starts` shows that it has restarted since.
 auto World::StepSearch(std::size_t index, std::uint64_t starts) -> void {
   auto& site = this->balancers[index];
   if (site.pause.starts != starts) return;
@@ -287,7 +287,7 @@
   });
 }
 
-// A control datagram on its way to a balancer.
+// Sends a control datagram to a balancer.
 auto World::ToBalancerCore(std::size_t index, std::function<void(Balancer&)> take) -> void {
   this->Carry([this, index, take = std::move(take)] {
     this->WhenAwake(this->balancers[index].pause,
@@ -419,9 +419,10 @@
   this->FromTargetOf(site, reply);
 }
 
-// An agent has just started, and the first that it hears is a late heartbeat of an earlier start,
-// which says ready; the draining target corrects it with its next one (or the next after a pause of
-// the agent), well within the three seconds that the promise allows.
+// Returns whether the agent may not know yet that its target drains. An agent that has just started
+// may first receive a late heartbeat of an earlier start, which says ready. The draining target
+// corrects this with its next heartbeat (or the next one after a pause of the agent), well within
+// the allowed three seconds.
 auto World::MayBeUnheard(const AgentSite& site) const -> bool {
   const auto heard = site.core.target.last.incarnation.started_ms;
   const auto misled = heard && *heard != site.target.incarnation;
--- a/src/packets/tests/interleaving_world.h
+++ b/src/packets/tests/interleaving_world.h
@@ -15,9 +15,9 @@
 #include "packets/hello.h"
 #include "packets/search.h"
 
-/// A small deployment on a virtual clock, for drawing interleavings: balancers, agents with their
-/// targets and clients, with datagrams that are late or lost. Only the cores under test decide; the
-/// world carries what they say and keeps the truth about flows.
+/// A small simulated deployment on a virtual clock, for random interleavings: balancers, agents
+/// with their targets, and clients, with datagrams that are late or lost. The cores under test make
+/// all decisions; the world delivers their messages and records the true state of each flow.
 namespace anvildrum::packets::tests {
 
 inline constexpr auto kRoute = End{0xc6120001, 443};
@@ -27,13 +27,13 @@
 inline constexpr auto kMapper = base::ServiceId{0x7654321};
 
 struct HeldFlow {
-  bool open = false;  ///< the client went on with this target
+  bool open = false;  ///< the client continued with this target
   std::uint32_t sequence = 0;
 };
 
 struct Target {
-  std::uint64_t incarnation = 0;  ///< differs between all starts
-  std::uint64_t id = 0;           ///< what it calls itself; a later start may use it again
+  std::uint64_t incarnation = 0;  ///< unique for each start
+  std::uint64_t id = 0;           ///< the target's own id; a later start may reuse it
   base::ServiceId service;
   bool alive = true;
   bool draining = false;
@@ -41,7 +41,7 @@
   std::map<FlowId, HeldFlow> flows;
 };
 
-/// A process that stands still; datagrams wait in its sockets, and are lost if it is started anew.
+/// A pause of a process: datagrams wait in its sockets and are lost if it is restarted.
 struct Pause {
   base::TimePoint until{};
   std::uint64_t starts = 0;
@@ -65,7 +65,7 @@
 
 struct ClientFlow {
   FlowId id;
-  std::uint32_t target_sequence = 0;  ///< of the answer that the client went on with; 0: none yet
+  std::uint32_t target_sequence = 0;  ///< of the answer that the client continued with; 0: none yet
   bool ended = false;
   base::TimePoint next{};
   std::uint32_t openings = 0;
@@ -86,13 +86,13 @@
   std::size_t balancers = 3;
   std::size_t agents = 5;
   int loss_percent = 2;
-  bool pauses = false;       ///< processes stand still for up to two seconds now and then
-  std::uint32_t slots = 50;  ///< of a target; few of them make load a matter of the draw
-  /// Targets start again under the id that they had, and tell when they started; heartbeats and
-  /// leaves of earlier starts come late.
+  bool pauses = false;       ///< processes occasionally pause for up to two seconds
+  std::uint32_t slots = 50;  ///< of a target; with few slots, load affects the outcome
+  /// Targets restart under the id that they had and report when they started; heartbeats and leaves
+  /// of earlier starts arrive late.
   bool same_id = false;
-  /// An operator drains failure domains and takes them back. The platform tells nobody that starts
-  /// later, so that it is known only by what instances tell each other.
+  /// An operator drains failure domains and reverses this. The platform does not inform instances
+  /// that start later, so that these learn of it only from other instances.
   bool drains = false;
 };
 
@@ -100,12 +100,13 @@
  public:
   explicit World(const WorldOptions& options);
 
-  /// Random events and traffic for this long.
+  /// Runs random events and traffic for this time.
   auto Run(base::Duration duration) -> void;
-  /// Traffic alone, no loss; every open flow of a live target has to be served at its end.
+  /// Runs traffic without events or loss; at the end every open flow of a live target must be
+  /// served.
   auto Settle(base::Duration duration) -> void;
 
-  /// What broke a promise; empty when nothing did.
+  /// Descriptions of the violated guarantees; empty if there were none.
   std::vector<std::string> faults;
   std::uint64_t opened = 0;
   std::uint64_t resets = 0;
@@ -168,7 +169,7 @@
   std::vector<BalancerSite> balancers;
   std::map<FlowId, ClientFlow> clients;
   std::map<Address, base::ServiceId> records;
-  DrainedDomains drained;                           ///< as the operator wants it
+  DrainedDomains drained;                           ///< as set by the operator
   std::map<DomainTag, base::TimePoint> drained_at;  ///< of those that are
   std::uint64_t incarnations = 0;
   std::uint64_t ports = 0;
--- a/src/packets/tests/narrow_links_test.cc
+++ b/src/packets/tests/narrow_links_test.cc
@@ -12,7 +12,7 @@
 using base::milliseconds;
 using base::seconds;
 
-constexpr auto kBound = seconds{5};  // in which a configuration has to be in force
+constexpr auto kBound = seconds{5};  // time within which a configuration has to be in force
 
 // Links of 10 Mbit/s and the largest value that a platform holds.
 constexpr auto kNarrow = 1.25e6;
@@ -39,7 +39,7 @@
   return played;
 }
 
-// Worlds of two sizes and of configurations up to the largest, played once for all tests.
+// Simulations of two sizes with configurations up to the largest, run once for all tests.
 auto PlayedWorlds() -> const std::vector<Played>& {
   static const auto worlds = [] {
     auto played = std::vector<Played>{};
@@ -63,15 +63,15 @@
   return worlds;
 }
 
-// Reads that are given up while their answers come, and sent again beside others, fill a link and
-// never end: the balancer goes by a configuration that was replaced long ago.
+// Reads that are cancelled while their answers arrive and are then sent again beside others fill a
+// link and never complete, so that the balancer keeps using a configuration replaced long ago.
 BOOST_AUTO_TEST_CASE(a_configuration_that_fills_a_link_is_in_force_in_time) {
   for (const auto& world : PlayedWorlds()) {
     BOOST_TEST(world.behind.count() < milliseconds{kBound}.count(), world.name);
   }
 }
 
-// An answer that is given up while it comes has cost its time on the link for nothing.
+// An answer that is cancelled while it arrives has used the link in vain.
 BOOST_AUTO_TEST_CASE(no_answer_is_given_up_while_it_comes) {
   for (const auto& world : PlayedWorlds()) BOOST_TEST(world.cut_short == 0U, world.name);
 }
--- a/src/packets/tests/narrow_links_world.cc
+++ b/src/packets/tests/narrow_links_world.cc
@@ -13,7 +13,7 @@
 
 constexpr auto kStart = TimePoint{seconds{1000}};
 constexpr auto kStep = milliseconds{5};
-constexpr auto kFirstBytes = milliseconds{8};  // from a call to its answer's first bytes
+constexpr auto kFirstBytes = milliseconds{8};  // from a call to the first bytes of its answer
 constexpr auto kHelloEvery = seconds{1};
 constexpr auto kHeardFor = seconds{5};
 constexpr auto kSeeds = std::size_t{3};
@@ -122,7 +122,7 @@
                                             .progress = {.sent_at = this->now, .heard_at = {}}});
 }
 
-// Each link is shared evenly by the answers that come over it.
+// Shares each link evenly among the answers that arrive over it.
 auto NarrowLinksWorld::MoveBytes() -> void {
   const auto is_coming = [&](const Answer& answer) {
     return this->now - answer.progress.sent_at >= kFirstBytes;
@@ -188,7 +188,7 @@
   }
 }
 
-// A balancer that has this version, drawn anew each time; there is one.
+// Returns a random balancer that has this version. At least one balancer must have it.
 auto NarrowLinksWorld::HolderOf(std::uint64_t version) -> std::size_t {
   auto holders = std::vector<std::size_t>{};
   for (auto index = std::size_t{0}; index < this->balancers.size(); ++index) {
--- a/src/packets/tests/narrow_links_world.h
+++ b/src/packets/tests/narrow_links_world.h
@@ -16,27 +16,28 @@
 
 struct NarrowLinksOptions {
   std::size_t balancers = 18;
-  std::size_t wide = 6;              ///< of these, with links that are never full
-  double narrow_bytes_a_second = 0;  ///< of the others' links, each way
+  std::size_t wide = 6;              ///< number of these whose links are never full
+  double narrow_bytes_a_second = 0;  ///< rate of the others' links in each direction
   double configuration_bytes = 0;
   base::Duration version_every{};
-  base::Duration copies_behind{};  ///< copies of the platform's state
+  base::Duration copies_behind{};  ///< age of the copies of the platform's state
   std::uint64_t seed = 1;
 };
 
-/// Balancers that read a configuration at a platform and from each other over links that it fills
-/// for a while, by the product's own decisions: whose turn a read is, whom to ask for what another
-/// balancer has, and when a call is given up. Answers that come at the same time share a link.
+/// Simulates balancers that read a configuration from a platform and from each other over links
+/// that the configuration fills for a while. The product's code decides which read comes next,
+/// which source is asked for a newer configuration, and when a call is cancelled. Answers that
+/// arrive at the same time share a link.
 class NarrowLinksWorld {
  public:
   explicit NarrowLinksWorld(const NarrowLinksOptions& options);
 
   auto RunFor(base::Duration duration) -> void;
 
-  /// For how long a balancer has held a configuration that was replaced, at most.
+  /// Returns the longest time for which a balancer has kept a configuration that was replaced.
   [[nodiscard]] auto MostBehind() const -> base::milliseconds;
 
-  /// Answers that were given up although bytes of them had come.
+  /// Returns the number of answers that were cancelled although some of their bytes had arrived.
   [[nodiscard]] auto CutShort() const -> std::uint64_t;
 
  private:
@@ -61,7 +62,7 @@
     platform::SharedReads reads;
     std::uint64_t version = 0;
     std::optional<NewerConfiguration> newer;
-    std::vector<Answer> answers;         ///< that are awaited
+    std::vector<Answer> answers;         ///< answers that are awaited
     std::vector<base::TimePoint> heard;  ///< by balancer: its last hello
     std::deque<Told> socket;
     base::TimePoint next_hello{};
--- a/src/packets/tests/newer_configuration_test.cc
+++ b/src/packets/tests/newer_configuration_test.cc
@@ -14,7 +14,7 @@
 constexpr auto kHolder = Address{7};
 constexpr auto kBasis = ConfigurationRequestContext{.revision = 3, .every = kEvery};
 
-// The questions of `count` periods by a balancer that has heard of revision 4.
+// Returns the sources that a balancer asks in `count` periods after it has heard of revision 4.
 auto AsksOf(const ConfigurationRequestContext& basis, int count) -> std::vector<Source> {
   auto newer = std::optional<NewerConfiguration>{};
   BOOST_TEST(NoteNewer(newer, kHolder, 4, basis.revision));
@@ -33,14 +33,15 @@
   BOOST_TEST((AsksOf(kBasis, 5) == expected));
 }
 
-// What a seed has would be late by the age of a copy, and all others hear of it from seeds.
+// All other balancers learn of a configuration from seeds, so that a seed must not lag by the age
+// of a copy.
 BOOST_AUTO_TEST_CASE(a_seed_asks_the_platform_at_once) {
   auto basis = kBasis;
   basis.is_seed = true;
   BOOST_TEST((AsksOf(basis, 2) == std::vector{Source::kPlatform, Source::kBalancer}));
 }
 
-// Calls that the platform refuses cost as much as answered ones.
+// A call that the platform refuses costs as much as an answered one.
 BOOST_AUTO_TEST_CASE(a_balancer_that_is_turned_away_asks_holders) {
   auto basis = kBasis;
   basis.turned_away = true;
@@ -49,20 +50,20 @@
   BOOST_TEST((AsksOf(basis, 4) == expected));
 }
 
-// A holder that has gone would be asked for ever.
+// Without a limit, a holder that has gone would be asked forever.
 BOOST_AUTO_TEST_CASE(questions_for_one_revision_end) {
   BOOST_TEST(AsksOf(kBasis, 20).size() == 8U);
 }
 
-// A second answer shares the link with the one that is coming, and both come later.
+// A second answer would share the link with the one that is arriving, and both would be delayed.
 BOOST_AUTO_TEST_CASE(nobody_is_asked_while_an_answer_is_coming) {
   auto basis = kBasis;
   basis.answer_coming = true;
   BOOST_TEST(AsksOf(basis, 20).empty());
 }
 
-// A copy that is behind costs the link all of its bytes for nothing. Where these take long, a
-// second one would use up the time in which the configuration has to be in force.
+// An outdated copy occupies the link with useless bytes. If these take long, a second copy would
+// use up the time in which the configuration has to be in force.
 BOOST_AUTO_TEST_CASE(copies_are_not_asked_again_where_an_answer_takes_long) {
   auto newer = std::optional<NewerConfiguration>{};
   NoteNewer(newer, kHolder, 4, kBasis.revision);
@@ -83,7 +84,7 @@
   BOOST_TEST(!newer.has_value());
 }
 
-// The one that told first may have gone by the time of the next question.
+// The first holder may have gone by the time of the next request.
 BOOST_AUTO_TEST_CASE(the_holder_that_told_last_is_asked) {
   auto newer = std::optional<NewerConfiguration>{};
   NoteNewer(newer, kHolder, 4, 3);
@@ -91,7 +92,7 @@
   BOOST_TEST(newer->holder == kHolder + 1);
 }
 
-// The platform and other balancers, which have the newest, are given time to answer.
+// The platform and other balancers, which have the newest configuration, get time to answer first.
 BOOST_AUTO_TEST_CASE(an_agent_is_not_asked_at_once) {
   auto kept = KeptConfigurations{};
   BOOST_TEST(!NoteKeptConfiguration(kept, 3, milliseconds{499}));
@@ -99,7 +100,8 @@
   BOOST_TEST(!NoteKeptConfiguration(kept, 0, milliseconds{500}));
 }
 
-// An agent that kept the configuration an hour ago puts it in force again.
+// Guards against an outdated copy: an agent that stored the configuration an hour ago must not
+// bring it into force again.
 BOOST_AUTO_TEST_CASE(the_newest_of_what_agents_keep_is_asked_for) {
   auto kept = KeptConfigurations{};
   NoteKeptConfiguration(kept, 3, milliseconds{100});
@@ -108,7 +110,8 @@
   BOOST_TEST(NoteKeptConfiguration(kept, 7, milliseconds{700}));
 }
 
-// The only agent that kept the newest has gone, and nothing is served.
+// The only agent that kept the newest configuration has gone. Without an older one the balancer
+// would serve nothing.
 BOOST_AUTO_TEST_CASE(an_older_configuration_is_taken_where_the_newest_does_not_come) {
   auto kept = KeptConfigurations{};
   NoteKeptConfiguration(kept, 7, milliseconds{200});
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -41,7 +41,7 @@
                at);
   }
 
-  /// kOther goes on reporting until `until`; then what is due.
+  /// Lets kOther report at `until` and returns the probes that are due then.
   auto DueAt(base::TimePoint until) -> std::vector<Address> {
     this->Report(kOther, until);
     return DueProbes(this->view, {}, kMost, kStart, until);
@@ -76,9 +76,10 @@
   BOOST_TEST(first != second, boost::test_tools::per_element());
 }
 
-// A failure domain loses power. Its agents fall silent and their machines leave connections
-// unanswered: after a second they keep no lost flow of the service from being reset. An agent whose
-// process alone has ended is waited for as before, since its target lives and it comes back.
+// A failure domain loses power. Its agents are silent and their machines do not answer connections;
+// after a second they must no longer delay the reset of lost flows of the service. If only the
+// agent's process has ended, the balancer waits longer, since the target is alive and the agent
+// will restart.
 BOOST_AUTO_TEST_CASE(
     a_member_out_of_reach_is_waited_for_a_second_and_one_whose_process_ended_longer) {
   for (const auto answered : {false, true}) {
@@ -96,7 +97,7 @@
 }
 
 // All power is lost, and one machine with a record does not come back. Each balancer has just
-// started, and knows the agent by its record alone.
+// started and knows the agent only from its record.
 BOOST_AUTO_TEST_CASE(a_record_of_a_machine_that_did_not_come_back_is_no_longer_waited_for) {
   auto rig = Rig{};
   constexpr auto gone = Address{0x0a010003};
@@ -121,8 +122,9 @@
   BOOST_TEST(!IsOutOfReach(rig.view, rig.view.members.at(kAgent), kStart, later));
 }
 
-// This instance is cut off itself, or was paused: that nobody answers says nothing of the others.
-// Taken for lost, the flows of all targets would be searched for, and their hints forgotten.
+// This instance itself is cut off or was paused, so that missing answers say nothing about the
+// other instances. If it considered them lost, it would search for the flows of all targets and
+// discard their hints.
 BOOST_AUTO_TEST_CASE(an_instance_that_hears_from_nobody_takes_none_for_out_of_reach) {
   auto rig = Rig{};
   const auto began = kStart + kSilentFor + kTick;
@@ -138,9 +140,9 @@
   BOOST_TEST(!IsOutOfReach(rig.view, rig.view.members.at(kAgent), later, later));  // was paused
 }
 
-// Balancers are restarted one after the other while a failure domain is off. The new one is told by
-// an older one whom that has given up, and waits for none of them; what it is told it does not tell
-// on.
+// Balancers are restarted one after the other while a failure domain is off. An older balancer
+// tells the new one which agents it has found unreachable, and the new one does not wait for these.
+// It does not pass this information on.
 BOOST_AUTO_TEST_CASE(a_balancer_that_starts_takes_over_who_is_out_of_reach) {
   auto rig = Rig{};
   constexpr auto gone = Address{0x0a010003};
@@ -149,7 +151,8 @@
   TakeOutOfReach(rig.view, gone, kStart + kTick);
   BOOST_TEST(IsComplete(rig.view, kDesk, kStart, kStart + kTick));
   BOOST_TEST(OutOfReach(rig.view, kStart, kStart + kTick).empty());
-  // Not told any more, it is waited for again; so is one that answers this balancer's own probe.
+  // The balancer waits for the agent again once it is no longer told that the agent is unreachable,
+  // or once the agent answers the balancer's own probe.
   const auto later = kStart + rig.view.policy.told_for + milliseconds{2};
   rig.Report(kAgent, later);
   rig.Report(kOther, later);
@@ -176,8 +179,8 @@
   BOOST_TEST(EncodeControl(hello).size() <= frame);
 }
 
-// The balancer remembers where the flow is, and the machine there has lost power. Its client's
-// packets went there until the record was removed, and nobody answered them.
+// The balancer remembers the agent of a flow, and that agent's machine has lost power. The client's
+// packets were sent there until the record was removed, and were never answered.
 BOOST_AUTO_TEST_CASE(a_flow_at_a_machine_out_of_reach_is_searched_for) {
   auto balancer = Balancer{};
   auto routes = Routes{};
