--- a/src/packets/tests/interleaving_test.cc
+++ b/src/packets/tests/interleaving_test.cc
@@ -81,9 +81,9 @@
   BOOST_TEST(opened > 50 * count);
 }
 
-// An operator drains failure domains and takes them back, while balancers and agents are started
-// again. The platform is silent for all but a balancer or two at each change: the others know it
-// from agents alone. Once all have run for a moment, no opening goes to a drained domain.
+// An operator drains failure domains and reverses this, while balancers and agents restart. At each
+// change the platform answers only one or two balancers, and the others learn of it from agents
+// alone. Once all have run for a moment, no opening may go to a drained domain.
 BOOST_AUTO_TEST_CASE(any_interleaving_with_drained_domains_keeps_the_promises) {
   auto opened = std::uint64_t{0};
   const auto [first, count] = Seeds();
