--- a/src/packets/tests/hearsay_test.cc
+++ b/src/packets/tests/hearsay_test.cc
@@ -13,7 +13,7 @@
 constexpr auto kStart = base::TimePoint{seconds{1000}};
 constexpr auto kFirstAgent = Address{0x0a010001};
 constexpr auto kDesk = base::ServiceId{11};
-constexpr auto kMostNew = kMaxGossipPeers - kGossipRepeats;
+constexpr auto kMaxNewPeers = kMaxGossipPeers - kGossipRepeats;
 
 auto Report(View& view, Address agent, base::TimePoint now) -> void {
   TakeReport(view,
@@ -38,8 +38,8 @@
 }
 
 // Builds messages until each live agent has been announced.
-auto TellAll(const View& view, GossipState& turn, base::TimePoint now) -> void {
-  for (auto i = std::size_t{0}; i <= view.members.size() / kMostNew; ++i) {
+auto AnnounceAll(const View& view, GossipState& turn, base::TimePoint now) -> void {
+  for (auto i = std::size_t{0}; i <= view.members.size() / kMaxNewPeers; ++i) {
     NextGossip(view, turn, now);
   }
 }
@@ -64,7 +64,7 @@
 BOOST_AUTO_TEST_CASE(a_new_agent_is_told_of_in_the_next_messages) {
   auto view = ViewOf(200);
   auto turn = GossipState{};
-  TellAll(view, turn, kStart);
+  AnnounceAll(view, turn, kStart);
   const auto later = kStart + seconds{60};
   for (auto i = Address{1}; i < 200; ++i) Report(view, kFirstAgent + i, later);
   Report(view, kFirstAgent + 500, later);
@@ -79,12 +79,13 @@
 // After a release or a power failure more agents are new than one message holds. Those that did not
 // fit were announced in the round robin of all others, which took minutes on a large site.
 BOOST_AUTO_TEST_CASE(all_new_agents_are_told_of_by_full_messages) {
-  for (const auto agents : {kMostNew + 1, 2 * kMostNew + 1, 3 * kMostNew + 1, std::size_t{2000}}) {
+  for (const auto agents :
+       {kMaxNewPeers + 1, 2 * kMaxNewPeers + 1, 3 * kMaxNewPeers + 1, std::size_t{2000}}) {
     auto view = ViewOf(static_cast<Address>(agents));
     auto turn = GossipState{};
     auto named = std::set<Address>{};
     auto now = kStart;
-    for (auto told = std::size_t{0}; told < agents; told += kMostNew) {
+    for (auto told = std::size_t{0}; told < agents; told += kMaxNewPeers) {
       for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, now);
       const auto hello = NextGossip(view, turn, now);
       BOOST_TEST(hello.peers.size() <= kMaxGossipPeers);
@@ -99,7 +100,7 @@
 // must be announced as new ones are, as fast as full messages allow, since other balancers have not
 // heard of them meanwhile.
 BOOST_AUTO_TEST_CASE(agents_that_come_back_to_life_are_told_of_as_new) {
-  constexpr auto agents = Address{2 * kMostNew + 1};
+  constexpr auto agents = Address{2 * kMaxNewPeers + 1};
   auto view = View{};
   for (auto i = Address{0}; i < agents; ++i) AddRecord(view, kFirstAgent + i, kDesk, kStart);
   auto turn = GossipState{};
@@ -119,7 +120,7 @@
   for (const auto agents : {Address{10}, Address{90}, Address{201}}) {
     auto view = ViewOf(agents);
     auto turn = GossipState{};
-    TellAll(view, turn, kStart);
+    AnnounceAll(view, turn, kStart);
     const auto later = kStart + kGossipNewFor;
     for (auto i = Address{0}; i < agents; ++i) Report(view, kFirstAgent + i, later);
     auto named = std::set<Address>{};
--- a/src/packets/tests/newer_configuration_test.cc
+++ b/src/packets/tests/newer_configuration_test.cc
@@ -15,7 +15,7 @@
 constexpr auto kBasis = ConfigurationRequestContext{.revision = 3, .every = kEvery};
 
 // Returns the sources that a balancer asks in `count` periods after it has heard of revision 4.
-auto AsksOf(const ConfigurationRequestContext& basis, int count) -> std::vector<Source> {
+auto SourcesOf(const ConfigurationRequestContext& basis, int count) -> std::vector<Source> {
   auto newer = std::optional<NewerConfiguration>{};
   BOOST_TEST(NoteNewer(newer, kHolder, 4, basis.revision));
   auto asks = std::vector<Source>{};
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(copies_are_asked_first_then_the_platform_and_a_holder_in_turn) {
   const auto expected = std::vector{Source::kCopy, Source::kCopy, Source::kPlatform,
                                     Source::kBalancer, Source::kPlatform};
-  BOOST_TEST((AsksOf(kBasis, 5) == expected));
+  BOOST_TEST((SourcesOf(kBasis, 5) == expected));
 }
 
 // All other balancers learn of a configuration from seeds, so that a seed must not lag by the age
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(a_seed_asks_the_platform_at_once) {
   auto basis = kBasis;
   basis.is_seed = true;
-  BOOST_TEST((AsksOf(basis, 2) == std::vector{Source::kPlatform, Source::kBalancer}));
+  BOOST_TEST((SourcesOf(basis, 2) == std::vector{Source::kPlatform, Source::kBalancer}));
 }
 
 // A call that the platform refuses costs as much as an answered one.
@@ -47,19 +47,19 @@
   basis.turned_away = true;
   const auto expected =
       std::vector{Source::kBalancer, Source::kBalancer, Source::kBalancer, Source::kCopy};
-  BOOST_TEST((AsksOf(basis, 4) == expected));
+  BOOST_TEST((SourcesOf(basis, 4) == expected));
 }
 
 // Without a limit, a holder that has gone would be asked forever.
 BOOST_AUTO_TEST_CASE(questions_for_one_revision_end) {
-  BOOST_TEST(AsksOf(kBasis, 20).size() == 8U);
+  BOOST_TEST(SourcesOf(kBasis, 20).size() == 8U);
 }
 
 // A second answer would share the link with the one that is arriving, and both would be delayed.
 BOOST_AUTO_TEST_CASE(nobody_is_asked_while_an_answer_is_coming) {
   auto basis = kBasis;
   basis.answer_coming = true;
-  BOOST_TEST(AsksOf(basis, 20).empty());
+  BOOST_TEST(SourcesOf(basis, 20).empty());
 }
 
 // An outdated copy occupies the link with useless bytes. If these take long, a second copy would
