--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -54,7 +54,7 @@
       reads({this->client, this->stale_client}, adapter, settings, this->MakeReadPorts()),
       probes(io, settings.heartbeats.port,
              [this](packets::Address machine, base::TimePoint began, bool answered) {
-               packets::TakeProbe(this->core.view, machine, began, answered);
+               packets::RecordProbeResult(this->core.view, machine, began, answered);
              }) {
   this->core.view.policy = this->core.policy.view;
   this->core.own = AddressOf(settings.packets);
@@ -249,14 +249,14 @@
   }
   const auto knows_agents = !hello.listed || !hello.peers.empty();
   if (!is_new && knows_agents) return;
-  for (const auto& part : packets::WholeHearsay(this->core.view, now)) {
+  for (const auto& part : packets::FullGossip(this->core.view, now)) {
     this->SendHello({from}, part, now);
   }
 }
 
 auto BalancerNode::Greet(base::TimePoint now) -> void {
   const auto running_since = this->core.stall.running_since;
-  const auto due = packets::DueGreetings(this->core.view, {}, running_since, now);
+  const auto due = packets::DueHellos(this->core.view, {}, running_since, now);
   if (due.empty()) return;
   this->said = packets::MakeHellos(this->core, now);
   auto briefs = std::map<base::ServiceId, std::string>{};
@@ -292,7 +292,7 @@
 auto BalancerNode::TellBalancers(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
                 [&](const auto& entry) { return now - entry.second.mark.at > kBalancerFor; });
-  const auto hearsay = packets::NextHearsay(this->core.view, this->hearsay, now);
+  const auto hearsay = packets::NextGossip(this->core.view, this->hearsay, now);
   this->SendHello(this->Balancers(), hearsay, now);
 }
 
@@ -335,7 +335,7 @@
   hello.out_of_reach = packets::OutOfReach(this->core.view, this->core.stall.running_since, now);
   hello.mark = base::MarkAt(this->marks, now);
   hello.balancers = static_cast<std::uint32_t>(this->balancers.size() + 1);
-  auto parts = packets::InFrames(hello);
+  auto parts = packets::SplitIntoFrames(hello);
   for (const auto balancer : to) {
     const auto heard = this->balancers.find(balancer);
     const auto echo =
--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -109,7 +109,8 @@
 // one replaces it as soon as the platform answers.
 auto BalancerNode::AskAgent(const packets::TargetReport& report, base::TimePoint now) -> void {
   if (this->reads.Age(now)) return;
-  const auto ask = packets::TakeKept(this->kept, report.revision, now - this->started_at);
+  const auto ask =
+      packets::NoteKeptConfiguration(this->kept, report.revision, now - this->started_at);
   if (this->core.routes) {
     packets::NoteNewer(this->newer, report.agent, report.revision, this->peers.Revision());
   } else if (ask && !this->IsConfigurationComing()) {
@@ -165,13 +166,13 @@
 
 // The other balancer may have gone since, and the platform may not answer this one.
 auto BalancerNode::AskForNewer(base::TimePoint now) -> void {
-  const auto basis =
-      packets::AskBasis{.revision = this->peers.Revision(),
-                        .is_seed = this->IsSeed(),
-                        .turned_away = this->platform_lost_at.has_value(),
-                        .answer_coming = this->IsConfigurationComing(),
-                        .every = this->settings.configuration_within / kAskForNewerParts};
-  const auto source = packets::NextAsk(this->newer, basis, now);
+  const auto basis = packets::ConfigurationRequestContext{
+      .revision = this->peers.Revision(),
+      .is_seed = this->IsSeed(),
+      .turned_away = this->platform_lost_at.has_value(),
+      .answer_coming = this->IsConfigurationComing(),
+      .every = this->settings.configuration_within / kAskForNewerParts};
+  const auto source = packets::NextConfigurationSource(this->newer, basis, now);
   if (!source) return;
   switch (*source) {
     case packets::ConfigurationSource::kCopy:
--- a/src/packets/internal/control.cc
+++ b/src/packets/internal/control.cc
@@ -156,8 +156,8 @@
   return DrainedOf(message.revision(), std::move(domains));
 }
 
-// The peers of a hello to an agent, each with its domain.
-auto TakeAgents(const pb::Hello& message, Hello& hello) -> bool {
+// Reads the peers of a hello to an agent, each with its domain. Returns false if they are invalid.
+auto ReadAgents(const pb::Hello& message, Hello& hello) -> bool {
   if (message.domains_size() != message.agents_size()) return false;
   for (auto i = 0; i < message.agents_size(); ++i) {
     if (!IsDomain(message.domains(i))) return false;
@@ -197,7 +197,7 @@
   for (const auto& peer : message.peers()) {
     hello.peers.push_back({peer.agent(), base::ServiceId{peer.service()}, 0});
   }
-  if (!TakeAgents(message, hello)) return std::nullopt;
+  if (!ReadAgents(message, hello)) return std::nullopt;
   return hello;
 }
 
@@ -220,7 +220,7 @@
                       .drained = *drained};
 }
 
-// Inverse of KeyOf; nothing for numbers that are no address and port.
+// Inverse of KeyOf; returns nullopt for numbers that are not an address and port.
 auto EndOf(std::uint64_t number) -> std::optional<End> {
   constexpr auto bits = 48U;
   if (number >> bits != 0) return std::nullopt;
@@ -264,7 +264,7 @@
                    std::vector<std::uint8_t>{datagram.begin(), datagram.end()}};
 }
 
-// A message as the control that it holds, where it is one.
+// Wraps a decoded message as a Control; nullopt stays nullopt.
 template <typename Message>
 auto AsControl(const std::optional<Message>& message) -> std::optional<Control> {
   if (!message) return std::nullopt;
