--- a/src/packetd/agent_node.h
+++ b/src/packetd/agent_node.h
@@ -42,17 +42,17 @@
  private:
   auto OpenPorts() -> base::Result<void>;
   auto OpenHeartbeats() -> base::Result<void>;
-  auto OnPeer(std::span<const std::uint8_t> datagram) -> void;
-  auto OnTarget(std::span<const std::uint8_t> datagram) -> void;
-  auto Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-             const packets::AgentVerdict& verdict) -> void;
+  auto OnPeerPacket(std::span<const std::uint8_t> datagram) -> void;
+  auto OnTargetPacket(std::span<const std::uint8_t> datagram) -> void;
+  auto ApplyVerdict(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
+                    const packets::AgentVerdict& verdict) -> void;
   auto Refuse(const packets::Packet& packet) -> void;
   auto OnControl(const base::Endpoint& from, std::span<const std::uint8_t> datagram) -> void;
   auto OnHello(packets::Address balancer, const packets::Hello& hello) -> void;
   auto OnHeartbeat(const net::OperatorRequest& request) -> net::OperatorResponse;
   auto OnLeave(const net::OperatorRequest& request) -> net::OperatorResponse;
-  auto Tell(packets::Address balancer, const packets::Control& control) -> void;
-  auto TellLocated(const packets::FlowId& flow, std::uint16_t origin) -> void;
+  auto SendControl(packets::Address balancer, const packets::Control& control) -> void;
+  auto SendLocated(const packets::FlowId& flow, std::uint16_t origin) -> void;
   auto SendBack(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
                 bool by_target) -> void;
   auto Report(packets::Address balancer) -> void;
@@ -67,7 +67,7 @@
   [[nodiscard]] auto Counts() const -> std::vector<NamedCount>;
   auto LogTraffic() -> void;
   auto RemoveRecordOfSilent(base::TimePoint now) -> void;
-  auto LogOdd(std::string_view event, std::string_view path) -> void;
+  auto LogInvalidInput(std::string_view event, std::string_view path) -> void;
   [[nodiscard]] auto IsKnown() const -> bool;
   auto AnnounceToSeeds() -> void;
   auto TargetIdOf(std::string_view path) const -> std::string_view;
--- a/src/packetd/balancer_node.h
+++ b/src/packetd/balancer_node.h
@@ -55,12 +55,12 @@
 
  private:
   auto OnPacket(std::span<const std::uint8_t> datagram) -> void;
-  auto Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-             const packets::BalancerVerdict& verdict) -> void;
+  auto ApplyVerdict(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
+                    const packets::BalancerVerdict& verdict) -> void;
   auto OnControl(const base::Endpoint& from, std::span<const std::uint8_t> datagram) -> void;
-  auto Greet(base::TimePoint now) -> void;
-  auto ProbeSilent(base::TimePoint now) -> void;
-  auto MakeSearchPorts() -> SearchPorts;
+  auto SendDueHellos(base::TimePoint now) -> void;
+  auto ProbeSilentAgents(base::TimePoint now) -> void;
+  auto MakeSearchCallbacks() -> SearchCallbacks;
   auto OnGivenBack(const packets::GivenBack& given_back, base::TimePoint now) -> void;
   auto AskAgent(const packets::TargetReport& report, base::TimePoint now) -> void;
   auto OnReport(const packets::TargetReport& report, base::TimePoint now) -> void;
@@ -76,14 +76,14 @@
   auto OpenPorts() -> base::Result<void>;
   auto Watch() -> void;
   auto WatchAsSeed() -> void;
-  auto MakeReadPorts() -> OperatorReadPorts;
+  auto MakeReadCallbacks() -> OperatorReadCallbacks;
   [[nodiscard]] auto IsSeed() const -> bool;
   [[nodiscard]] auto Balancers() const -> std::set<packets::Address>;
   [[nodiscard]] auto BalancerCount(base::TimePoint now) const -> std::size_t;
   auto NextHolder(packets::Address receiver) -> packets::Address;
   auto PaceCalls(base::TimePoint now) -> void;
-  auto TellBalancers(base::TimePoint now) -> void;
-  auto TellAtOnce(base::TimePoint now) -> void;
+  auto SendPeriodicHellos(base::TimePoint now) -> void;
+  auto SendBriefHello(base::TimePoint now) -> void;
   auto SendHello(const std::set<packets::Address>& to, packets::Hello hello, base::TimePoint now)
       -> void;
   auto OnHello(packets::Address from, const packets::Hello& hello, base::TimePoint now) -> void;
@@ -112,10 +112,10 @@
   std::optional<packets::NewerConfiguration> newer;
   packets::KeptConfigurations kept;
   base::MarkClock marks;
-  std::map<packets::Address, KnownBalancer> balancers;    ///< that have said hello lately
-  packets::Address last_holder = 0;                       ///< that was told as one
-  packets::HearsayTurn hearsay;                           ///< of the messages to balancers
-  std::map<base::ServiceId, packets::ServiceHello> said;  ///< the last hellos
+  std::map<packets::Address, KnownBalancer> balancers;           ///< that have said hello lately
+  packets::Address last_holder = 0;                              ///< that was told as one
+  packets::HearsayTurn hearsay;                                  ///< of the messages to balancers
+  std::map<base::ServiceId, packets::ServiceHello> last_hellos;  ///< the last hellos
   bool records_read = false;
   std::optional<base::TimePoint> platform_lost_at;
   bool platform_answers = true;  ///< this balancer or another one, lately
--- a/src/packetd/flow_searcher.h
+++ b/src/packetd/flow_searcher.h
@@ -15,7 +15,7 @@
 namespace anvildrum::packetd {
 
 /// What a search sends, and the line that it writes when it ends without a result.
-struct SearchPorts {
+struct SearchCallbacks {
   std::function<void(packets::Address to, const packets::Control& control)> send_control;
   std::function<void(const packets::Candidate& to, std::span<const std::uint8_t> datagram,
                      bool kept)>
@@ -29,7 +29,7 @@
 /// Carries out the searches of a balancer's core: its timer, its queries and the packets that wait.
 class FlowSearcher {
  public:
-  FlowSearcher(boost::asio::io_context& io, packets::Balancer& core, SearchPorts ports);
+  FlowSearcher(boost::asio::io_context& io, packets::Balancer& core, SearchCallbacks callbacks);
 
   /// The core awaits the search for the packet's flow.
   auto Await(const packets::FlowId& flow, std::span<const std::uint8_t> datagram) -> void;
@@ -53,7 +53,7 @@
   auto Forward(const packets::FlowId& flow, const packets::Candidate& agent, bool kept) -> void;
 
   packets::Balancer& core;
-  SearchPorts ports;
+  SearchCallbacks callbacks;
   HeldPackets held;
   boost::asio::steady_timer timer;
   bool armed = false;
--- a/src/packetd/held_packets.h
+++ b/src/packetd/held_packets.h
@@ -16,8 +16,8 @@
  public:
   using Datagram = std::vector<std::uint8_t>;
 
-  /// Keeps a copy of the packet. Of a flow the last kMostOfFlow stay, and nothing beyond kMostBytes
-  /// of all: their clients repeat what is dropped.
+  /// Keeps a copy of the packet. Of a flow the last kMaxPacketsPerFlow stay, and nothing beyond
+  /// kMaxBytes of all: their clients repeat what is dropped.
   auto Keep(const packets::FlowId& flow, std::span<const std::uint8_t> datagram) -> void;
 
   /// The flow's packets, oldest first.
@@ -26,9 +26,9 @@
   auto Drop(const packets::FlowId& flow) -> void;
 
   /// A request of 900 bytes, what goes before it, and a repetition.
-  static constexpr auto kMostOfFlow = std::size_t{4};
+  static constexpr auto kMaxPacketsPerFlow = std::size_t{4};
   /// A tenth of what the smallest balancer has.
-  static constexpr auto kMostBytes = std::size_t{8'000'000};
+  static constexpr auto kMaxBytes = std::size_t{8'000'000};
 
  private:
   std::unordered_map<packets::FlowId, std::vector<Datagram>> flows;
--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -19,7 +19,7 @@
 
 // From SIGTERM on: one way to every balancer, so that openings on their way are still passed on.
 // The flows of a live target are silent while the agent is away, so it is kept short.
-constexpr auto kLeaveAfter = base::milliseconds{100};
+constexpr auto kShutdownDelay = base::milliseconds{100};
 
 constexpr auto kOk = 200U;
 constexpr auto kBadRequest = 400U;
@@ -41,7 +41,7 @@
 // Two heartbeats and a half, so that one may be lost; but before the address may serve another
 // service. Openings are withheld from a target that is well if it is shorter than this many.
 constexpr auto kSilentHeartbeats = 2.5;
-constexpr auto kLeastHeartbeats = 1.5;
+constexpr auto kMinHeartbeats = 1.5;
 
 auto HeartbeatsOf(const AgentSettings& settings, double count) -> base::Duration {
   const auto period = std::chrono::duration<double>(settings.heartbeat_period);
@@ -51,20 +51,20 @@
 auto SilentFor(const AgentSettings& settings) -> base::Duration {
   const auto missed =
       std::min(HeartbeatsOf(settings, kSilentHeartbeats), settings.address_reused_after);
-  return std::max(missed, HeartbeatsOf(settings, kLeastHeartbeats));
+  return std::max(missed, HeartbeatsOf(settings, kMinHeartbeats));
 }
 
 // A target that has sent more heartbeats ran before this process did, and an earlier process has
 // written the record.
-constexpr auto kFirstHeartbeats = std::uint64_t{2};
+constexpr auto kMaxStartupHeartbeats = std::uint64_t{2};
 
 // Between two questions for a newer configuration: a storm of changes is not followed step by step.
-constexpr auto kAskAgain = base::milliseconds{500};
+constexpr auto kMinAskInterval = base::milliseconds{500};
 
 // Balancers that are silent are told of this agent this often, so many at a time: after all of them
 // were started again each is known to some agents within half a second, and these are told on.
-constexpr auto kRemindEvery = base::milliseconds{500};
-constexpr auto kMostReminded = std::size_t{8};
+constexpr auto kRemindPeriod = base::milliseconds{500};
+constexpr auto kMaxReminded = std::size_t{8};
 
 auto MembersKey(const Adapter& adapter, const Settings& settings) -> std::string {
   return std::string(adapter.members_prefix) + "/" + RecordName(AddressOf(settings.packets));
@@ -91,7 +91,7 @@
   this->core.own = AddressOf(settings.packets);
   this->core.domain = packets::DomainTagOf(settings.failure_domain);
   this->core.policy.silent_for = SilentFor(*settings.agent);
-  this->core.policy.unheard_for = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
+  this->core.policy.unheard_for = HeartbeatsOf(*settings.agent, kMinHeartbeats);
   this->core.policy.heartbeat_every = settings.agent->heartbeat_period;
   this->core.policy.proof_apart = settings.agent->heartbeat_period / 2;
   this->core.service = base::ServiceIdOf(settings.agent->service);
@@ -137,16 +137,16 @@
 auto AgentNode::KeepConfiguration(packets::Address balancer, std::uint64_t revision) -> void {
   const auto now = base::Now();
   const auto newer = revision > this->configuration.Revision();
-  if (!newer || now - this->asked_at < kAskAgain) return;
+  if (!newer || now - this->asked_at < kMinAskInterval) return;
   if (!packets::KeepsConfiguration(this->core)) return;
   this->asked_at = now;
   this->configuration.AskFor(balancer);
 }
 
 auto AgentNode::RemindBalancers(base::TimePoint now) -> void {
-  if (now - this->reminded_at < kRemindEvery) return;
+  if (now - this->reminded_at < kRemindPeriod) return;
   this->reminded_at = now;
-  for (const auto balancer : packets::SilentBalancers(this->core, kMostReminded, now)) {
+  for (const auto balancer : packets::SilentBalancers(this->core, kMaxReminded, now)) {
     this->Report(balancer);
   }
 }
@@ -159,14 +159,18 @@
 }
 
 auto AgentNode::OpenPorts() -> base::Result<void> {
-  auto packet_opened = net::UdpPort::Open(
-      this->io, PacketPortOptions(this->settings.packets),
-      [this](const base::Endpoint&, std::span<const std::uint8_t> data) { this->OnPeer(data); });
+  auto packet_opened =
+      net::UdpPort::Open(this->io, PacketPortOptions(this->settings.packets),
+                         [this](const base::Endpoint&, std::span<const std::uint8_t> data) {
+                           this->OnPeerPacket(data);
+                         });
   if (!packet_opened) return packet_opened.error();
   this->packet_port = std::move(packet_opened.value());
-  auto target_opened = net::UdpPort::Open(
-      this->io, PacketPortOptions(this->settings.agent->from_target),
-      [this](const base::Endpoint&, std::span<const std::uint8_t> data) { this->OnTarget(data); });
+  auto target_opened =
+      net::UdpPort::Open(this->io, PacketPortOptions(this->settings.agent->from_target),
+                         [this](const base::Endpoint&, std::span<const std::uint8_t> data) {
+                           this->OnTargetPacket(data);
+                         });
   if (!target_opened) return target_opened.error();
   this->target_port = std::move(target_opened.value());
   auto control_opened = net::UdpPort::Open(
@@ -217,36 +221,36 @@
 auto AgentNode::Stop() -> base::Duration {
   this->core.stopping = true;
   this->ReportToAll();
-  return std::min<base::Duration>(kLeaveAfter, this->settings.grace / 2);
+  return std::min<base::Duration>(kShutdownDelay, this->settings.grace / 2);
 }
 
-auto AgentNode::OnPeer(std::span<const std::uint8_t> datagram) -> void {
+auto AgentNode::OnPeerPacket(std::span<const std::uint8_t> datagram) -> void {
   const auto packet = this->adapter.decode_packet(datagram);
   if (!packet) {
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::FromPeer(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::FromPeer(this->core, *packet, base::Now()));
 }
 
-auto AgentNode::OnTarget(std::span<const std::uint8_t> datagram) -> void {
+auto AgentNode::OnTargetPacket(std::span<const std::uint8_t> datagram) -> void {
   const auto packet = this->adapter.decode_packet(datagram);
   if (!packet) {
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::FromTarget(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::FromTarget(this->core, *packet, base::Now()));
 }
 
-auto AgentNode::Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-                      const packets::AgentVerdict& verdict) -> void {
+auto AgentNode::ApplyVerdict(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
+                             const packets::AgentVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(
       base::Overloaded{
           [&](const packets::DeliverToTarget& deliver) {
             this->packet_port->Send(this->settings.agent->target, datagram);
             if (deliver.located) {
-              this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
+              this->SendLocated(packets::FlowFromClient(packet), packet.stamp.origin);
             }
           },
           [&](const packets::SendToClient& reply) {
@@ -254,7 +258,7 @@
               this->ObserveWork(*reply.answered_after);
             }
             if (reply.located_for) {
-              this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
+              this->SendLocated(packets::FlowFromTarget(packet), *reply.located_for);
             }
             this->packet_port->Send(base::EndpointFromV4(packet.destination.address, port),
                                     datagram);
@@ -293,7 +297,7 @@
     return this->Report(sender);
   }
   if (query != nullptr) {
-    return this->Tell(sender, packets::AnswerQuery(this->core, *query, base::Now()));
+    return this->SendControl(sender, packets::AnswerQuery(this->core, *query, base::Now()));
   }
   ++this->malformed;
 }
@@ -318,7 +322,7 @@
       this->adapter.decode_heartbeat(this->TargetIdOf(request.path), request.body);
   if (!heartbeat) {
     ++this->malformed;
-    this->LogOdd("heartbeat_unreadable", request.path);
+    this->LogInvalidInput("heartbeat_unreadable", request.path);
     return Json(kBadRequest);
   }
   auto outcome = packets::TakeHeartbeat(this->core, *heartbeat, base::Now());
@@ -328,10 +332,10 @@
   }
   // What is not believed is not acknowledged: a target takes an acknowledged departure for known.
   if (outcome == packets::HeartbeatOutcome::kStale) {
-    this->LogOdd("heartbeat_not_believed", request.path);
+    this->LogInvalidInput("heartbeat_not_believed", request.path);
     return Json(kConflict);
   }
-  this->target_watch.Heard();
+  this->target_watch.OnTargetAlive();
   if (outcome != packets::HeartbeatOutcome::kChanged || this->core.stopping) return Json(kOk);
   this->told_state = packets::StateOf(this->core, base::Now());
   Log(LogLevel::kInfo, "target_state",
@@ -341,7 +345,7 @@
        {"draining", heartbeat->draining}});
   this->ReportToAll();
   this->AnnounceToSeeds();
-  if (heartbeat->sequence > kFirstHeartbeats) this->registrar.ExpectObject();
+  if (heartbeat->sequence > kMaxStartupHeartbeats) this->registrar.ExpectObject();
   this->registrar.Keep(EncodeRecord({this->core.own, this->settings.agent->service}));
   return Json(kOk);
 }
@@ -356,7 +360,7 @@
   return Json(kOk);
 }
 
-auto AgentNode::Tell(packets::Address balancer, const packets::Control& control) -> void {
+auto AgentNode::SendControl(packets::Address balancer, const packets::Control& control) -> void {
   const auto text = packets::EncodeControl(control);
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(text.data());
   this->control_port->Send(ControlEndpoint(this->settings, balancer), {bytes, text.size()});
@@ -365,13 +369,13 @@
 auto AgentNode::Report(packets::Address balancer) -> void {
   auto report = packets::MakeReport(this->core, balancer, base::Now());
   report.revision = this->configuration.Revision();
-  this->Tell(balancer, report);
+  this->SendControl(balancer, report);
 }
 
-auto AgentNode::TellLocated(const packets::FlowId& flow, std::uint16_t origin) -> void {
+auto AgentNode::SendLocated(const packets::FlowId& flow, std::uint16_t origin) -> void {
   const auto located = packets::Located{this->core.own, flow};
   for (const auto balancer : packets::BalancersOf(this->core, origin)) {
-    this->Tell(balancer, located);
+    this->SendControl(balancer, located);
   }
 }
 
@@ -382,7 +386,7 @@
     back.packet = std::vector<std::uint8_t>{datagram.begin(), datagram.end()};
   }
   for (const auto balancer : packets::BalancersOf(this->core, packet.stamp.origin)) {
-    this->Tell(balancer, back);
+    this->SendControl(balancer, back);
   }
 }
 
@@ -443,12 +447,12 @@
   this->registrar.Remove();
 }
 
-auto AgentNode::LogOdd(std::string_view event, std::string_view path) -> void {
-  this->operators.LogOdd(event, path.substr(0, kLoggedPath));
+auto AgentNode::LogInvalidInput(std::string_view event, std::string_view path) -> void {
+  this->operators.LogInvalidInput(event, path.substr(0, kLoggedPath));
 }
 
 auto AgentNode::IsKnown() const -> bool {
-  return !this->core.balancers.empty() && this->registrar.Settled();
+  return !this->core.balancers.empty() && this->registrar.IsSettled();
 }
 
 // Where the platform turns this instance away, balancers learn of it from here, and tell each
--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -24,20 +24,20 @@
 constexpr auto kAskPeriod = base::milliseconds{250};
 
 // A balancer that has not said hello for this long is not told of agents any more.
-constexpr auto kBalancerFor = base::seconds{5};
+constexpr auto kBalancerExpiry = base::seconds{5};
 
 // Two hellos, of which one may be lost.
-constexpr auto kHeardLately = base::milliseconds{2500};
+constexpr auto kRecentHelloWindow = base::milliseconds{2500};
 
 // Balancers whose counts are compared; more than there are seeds.
-constexpr auto kTellersCounted = std::size_t{8};
+constexpr auto kMaxBalancerReports = std::size_t{8};
 
 // From SIGTERM on: the fabric asks for readiness twice a second and takes a balancer out after two
 // misses; until then clients' packets still come here.
-constexpr auto kLeaveAfter = base::milliseconds{2000};
+constexpr auto kShutdownDelay = base::milliseconds{2000};
 
 // Balancers that are looked at for one that has the configuration: most have it, or none does.
-constexpr auto kHoldersLookedAt = std::size_t{8};
+constexpr auto kMaxHoldersExamined = std::size_t{8};
 
 }  // namespace
 
@@ -46,12 +46,12 @@
     : io(io),
       adapter(adapter),
       settings(settings),
-      searcher(io, this->core, this->MakeSearchPorts()),
+      searcher(io, this->core, this->MakeSearchCallbacks()),
       client(MakeClient(io, settings, *adapter.dialect)),
       stale_client(MakeClient(io, settings, *adapter.stale_dialect)),
       peers(io, adapter, settings,
             [this](const platform::Object& object) { this->OnConfiguration(object, "peer"); }),
-      reads({this->client, this->stale_client}, adapter, settings, this->MakeReadPorts()),
+      reads({this->client, this->stale_client}, adapter, settings, this->MakeReadCallbacks()),
       probes(io, settings.heartbeats.port,
              [this](packets::Address machine, base::TimePoint began, bool answered) {
                packets::TakeProbe(this->core.view, machine, began, answered);
@@ -69,7 +69,7 @@
   auto opened = this->OpenPorts();
   if (!opened) return opened.error();
   this->Watch();
-  this->TellBalancers(base::Now());  // they answer with the agents that they know
+  this->SendPeriodicHellos(base::Now());  // they answer with the agents that they know
   this->ask_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kAskPeriod, [this](base::TimePoint /*now*/) {
         if (!this->core.routes && !this->IsConfigurationComing()) this->peers.Ask();
@@ -81,14 +81,14 @@
         this->reads.Check(now);
         this->AskForNewer(now);
         this->LogFreshness(now);
-        this->ProbeSilent(now);
-        this->Greet(now);
+        this->ProbeSilentAgents(now);
+        this->SendDueHellos(now);
       });
   this->sweep_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kSweepPeriod, [this](base::TimePoint now) {
         packets::ForgetHints(this->core, now);
         packets::Forget(this->core.view, now);
-        this->TellBalancers(now);
+        this->SendPeriodicHellos(now);
         this->LogTraffic();
         this->operators.LogCalls({this->client.Counts(), this->stale_client.Counts()}, now);
       });
@@ -132,7 +132,7 @@
 
 auto BalancerNode::Stop() -> base::Duration {
   this->stopping = true;
-  return std::min<base::Duration>(kLeaveAfter, this->settings.grace / 2);
+  return std::min<base::Duration>(kShutdownDelay, this->settings.grace / 2);
 }
 
 auto BalancerNode::IsReady() const -> bool {
@@ -146,11 +146,12 @@
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::RoutePacket(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::RoutePacket(this->core, *packet, base::Now()));
 }
 
-auto BalancerNode::Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-                         const packets::BalancerVerdict& verdict) -> void {
+auto BalancerNode::ApplyVerdict(std::span<const std::uint8_t> datagram,
+                                const packets::Packet& packet,
+                                const packets::BalancerVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(base::Overloaded{[&](const packets::ForwardToAgent& forward) {
                                 ForwardPacket(*this->packet_port, this->adapter,
@@ -204,7 +205,7 @@
   this->searcher.OnGivenBack(given_back, *packet, now);
 }
 
-auto BalancerNode::MakeSearchPorts() -> SearchPorts {
+auto BalancerNode::MakeSearchCallbacks() -> SearchCallbacks {
   return {
       .send_control =
           [this](packets::Address to, const packets::Control& control) {
@@ -240,7 +241,7 @@
                            .revision = hello.revision};
   this->TakeDrained(hello.drained, "balancer");
   this->NoteNewer(from, hello, now);
-  if (this->TakeConfirmation(hello, now) && this->IsSeed()) this->TellAtOnce(now);
+  if (this->TakeConfirmation(hello, now) && this->IsSeed()) this->SendBriefHello(now);
   for (const auto agent : hello.out_of_reach) {
     packets::TakeOutOfReach(this->core.view, agent, now);
   }
@@ -254,13 +255,13 @@
   }
 }
 
-auto BalancerNode::Greet(base::TimePoint now) -> void {
+auto BalancerNode::SendDueHellos(base::TimePoint now) -> void {
   const auto running_since = this->core.stall.running_since;
   const auto due = packets::DueGreetings(this->core.view, {}, running_since, now);
   if (due.empty()) return;
-  this->said = packets::MakeHellos(this->core, now);
+  this->last_hellos = packets::MakeHellos(this->core, now);
   auto briefs = std::map<base::ServiceId, std::string>{};
-  for (const auto& [service, hello] : this->said) {
+  for (const auto& [service, hello] : this->last_hellos) {
     auto brief = hello.brief;
     brief.revision = this->peers.Revision();
     brief.platform_silent = this->IsPlatformSilent(now);
@@ -271,8 +272,8 @@
   }
 }
 
-auto BalancerNode::ProbeSilent(base::TimePoint now) -> void {
-  const auto due = packets::DueProbes(this->core.view, {}, this->probes.Room(),
+auto BalancerNode::ProbeSilentAgents(base::TimePoint now) -> void {
+  const auto due = packets::DueProbes(this->core.view, {}, this->probes.FreeSlots(),
                                       this->core.stall.running_since, now);
   for (const auto agent : due) this->probes.Begin(agent);
 }
@@ -282,16 +283,16 @@
   packets::TakeReport(this->core.view, report, now);
   this->TakeDrained(report.drained, "agent");
   this->AskAgent(report, now);
-  for (const auto& part : packets::WantedParts(this->said, report)) {
+  for (const auto& part : packets::WantedParts(this->last_hellos, report)) {
     this->SendControl(report.agent, packets::EncodeControl(part));
   }
 }
 
 // A new agent is known to all balancers within a second, also to those that the platform turns away
 // or tells late. Balancers find each other by the seeds, which answer whoever says hello.
-auto BalancerNode::TellBalancers(base::TimePoint now) -> void {
+auto BalancerNode::SendPeriodicHellos(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
-                [&](const auto& entry) { return now - entry.second.mark.at > kBalancerFor; });
+                [&](const auto& entry) { return now - entry.second.mark.at > kBalancerExpiry; });
   const auto hearsay = packets::NextHearsay(this->core.view, this->hearsay, now);
   this->SendHello(this->Balancers(), hearsay, now);
 }
@@ -311,17 +312,17 @@
 // as soon as it hears of nobody.
 auto BalancerNode::BalancerCount(base::TimePoint now) const -> std::size_t {
   auto count = std::size_t{1};
-  auto tellers = std::size_t{0};
+  auto reports = std::size_t{0};
   for (const auto& [balancer, known] : this->balancers) {
-    if (now - known.mark.at > kHeardLately) continue;
+    if (now - known.mark.at > kRecentHelloWindow) continue;
     count = std::max<std::size_t>({count, known.balancers, this->balancers.size() + 1});
-    if (++tellers == kTellersCounted) break;
+    if (++reports == kMaxBalancerReports) break;
   }
   return count;
 }
 
 // Others put off their own reads, or read what is new.
-auto BalancerNode::TellAtOnce(base::TimePoint now) -> void {
+auto BalancerNode::SendBriefHello(base::TimePoint now) -> void {
   auto brief = packets::Hello{};
   brief.listed = false;
   this->SendHello(this->Balancers(), brief, now);
@@ -355,7 +356,7 @@
 // the seeds' links are too narrow to answer within the time of a question.
 auto BalancerNode::NextHolder(packets::Address receiver) -> packets::Address {
   auto entry = this->balancers.upper_bound(this->last_holder);
-  for (auto looked_at = std::size_t{0}; looked_at < kHoldersLookedAt; ++looked_at, ++entry) {
+  for (auto examined = std::size_t{0}; examined < kMaxHoldersExamined; ++examined, ++entry) {
     if (entry == this->balancers.end()) entry = this->balancers.begin();
     if (entry == this->balancers.end()) return 0;
     this->last_holder = entry->first;
@@ -425,7 +426,7 @@
 
 // An agent that keeps lost flows from being reset; 0 where there is none.
 auto BalancerNode::FirstAway() const -> packets::Address {
-  for (const auto& [service, hello] : this->said) {
+  for (const auto& [service, hello] : this->last_hellos) {
     const auto away =
         packets::FirstAway(this->core.view, service, this->core.stall.running_since, base::Now());
     if (away != 0) return away;
--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -26,7 +26,7 @@
 
 // Between two questions for a configuration that another balancer has in force, as a part of the
 // time in which it has to be in force: three questions are answered within half of it.
-constexpr auto kAskForNewerParts = 8;
+constexpr auto kAskForNewerDivisor = 8;
 
 // Between failed calls: a configuration has to be read soon after the platform is back, and an
 // instance's budget bounds the calls of a long outage.
@@ -63,7 +63,7 @@
               [this](std::uint64_t /*revision*/) {
                 const auto now = base::Now();
                 this->core.records_at = now;
-                if (!std::exchange(this->records_read, true)) this->Greet(now);
+                if (!std::exchange(this->records_read, true)) this->SendDueHellos(now);
               }});
 }
 
@@ -96,12 +96,12 @@
   }
 }
 
-auto BalancerNode::MakeReadPorts() -> OperatorReadPorts {
+auto BalancerNode::MakeReadCallbacks() -> OperatorReadCallbacks {
   return {.on_configuration =
               [this](const platform::Object& object) { this->OnConfiguration(object, "platform"); },
           .on_drains = [this](const platform::Listing& drains) { this->OnDrains(drains); },
           .on_answer = [this](const platform::PlatformError* error) { this->OnAnswer(error); },
-          .on_confirmed = [this] { this->TellAtOnce(base::Now()); }};
+          .on_confirmed = [this] { this->SendBriefHello(base::Now()); }};
 }
 
 // An agent keeps a configuration, and this balancer has found none for a while, or one that nobody
@@ -170,12 +170,12 @@
                         .is_seed = this->IsSeed(),
                         .turned_away = this->platform_lost_at.has_value(),
                         .answer_coming = this->IsConfigurationComing(),
-                        .every = this->settings.configuration_within / kAskForNewerParts};
+                        .every = this->settings.configuration_within / kAskForNewerDivisor};
   const auto source = packets::NextAsk(this->newer, basis, now);
   if (!source) return;
   switch (*source) {
     case packets::ConfigurationSource::kCopy:
-      return this->reads.FetchConfiguration(Freshness::kMayBeOld);
+      return this->reads.FetchConfiguration(Freshness::kMayBeStale);
     case packets::ConfigurationSource::kPlatform:
       return this->reads.FetchConfiguration(Freshness::kNewest);
     case packets::ConfigurationSource::kBalancer:
@@ -258,7 +258,7 @@
   const auto record = DecodeRecord(object.value);
   if (!agent || (!object.deleted && (!record || record->agent != *agent))) {
     ++this->unreadable;
-    this->operators.LogOdd("record_unreadable", object.key);
+    this->operators.LogInvalidInput("record_unreadable", object.key);
     if (agent) packets::RemoveRecord(this->core.view, *agent);
     return;
   }
--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -8,8 +8,9 @@
 
 namespace anvildrum::packetd {
 
-FlowSearcher::FlowSearcher(boost::asio::io_context& io, packets::Balancer& core, SearchPorts ports)
-    : core(core), ports(std::move(ports)), timer(io) {}
+FlowSearcher::FlowSearcher(boost::asio::io_context& io, packets::Balancer& core,
+                           SearchCallbacks callbacks)
+    : core(core), callbacks(std::move(callbacks)), timer(io) {}
 
 auto FlowSearcher::Await(const packets::FlowId& flow, std::span<const std::uint8_t> datagram)
     -> void {
@@ -58,7 +59,7 @@
 auto FlowSearcher::Step() -> void {
   const auto step = packets::StepSearches(this->core, base::Now());
   for (const auto& addressed : step.queries) {
-    this->ports.send_control(addressed.agent, addressed.query);
+    this->callbacks.send_control(addressed.agent, addressed.query);
   }
   this->Apply(step.outcomes);
   if (!packets::IsIdle(this->core.searches)) this->Arm();
@@ -79,13 +80,13 @@
                    [&](const packets::FlowPresumed& presumed) { this->held.Drop(presumed.flow); },
                    [&](const packets::FlowLost& lost) {
                      this->held.Drop(lost.flow);
-                     this->ports.reset(lost);
-                     this->ports.log(lost.flow, "flow_reset", "held by no target", 0);
+                     this->callbacks.reset(lost);
+                     this->callbacks.log(lost.flow, "flow_reset", "held by no target", 0);
                    },
                    [&](const packets::FlowNotFound& failed) {
                      this->held.Drop(failed.flow);
-                     this->ports.log(failed.flow, "packet_dropped", packets::NameOf(failed.reason),
-                                     failed.agent);
+                     this->callbacks.log(failed.flow, "packet_dropped",
+                                         packets::NameOf(failed.reason), failed.agent);
                    }},
                outcome);
   }
@@ -93,7 +94,7 @@
 
 auto FlowSearcher::Forward(const packets::FlowId& flow, const packets::Candidate& agent, bool kept)
     -> void {
-  for (const auto& datagram : this->held.Of(flow)) this->ports.forward(agent, datagram, kept);
+  for (const auto& datagram : this->held.Of(flow)) this->callbacks.forward(agent, datagram, kept);
 }
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/internal/held_packets.cc
+++ b/src/packetd/internal/held_packets.cc
@@ -4,9 +4,9 @@
 
 auto HeldPackets::Keep(const packets::FlowId& flow, std::span<const std::uint8_t> datagram)
     -> void {
-  if (this->bytes + datagram.size() > kMostBytes) return;
+  if (this->bytes + datagram.size() > kMaxBytes) return;
   auto& kept = this->flows[flow];
-  if (kept.size() >= kMostOfFlow) {
+  if (kept.size() >= kMaxPacketsPerFlow) {
     this->bytes -= kept.front().size();
     kept.erase(kept.begin());
   }
--- a/src/packetd/internal/machine_probes.cc
+++ b/src/packetd/internal/machine_probes.cc
@@ -19,17 +19,17 @@
 
 // Sockets of probes at a time: a failure domain of hundreds of machines is asked within some
 // seconds.
-constexpr auto kMostProbes = std::size_t{256};
+constexpr auto kMaxProbes = std::size_t{256};
 
 }  // namespace
 
 MachineProbes::MachineProbes(asio::io_context& io, std::uint16_t port, OnEnd on_end)
     : io(io), port(port), on_end(std::move(on_end)) {}
 
-auto MachineProbes::Room() const -> std::size_t { return kMostProbes - this->probes.size(); }
+auto MachineProbes::FreeSlots() const -> std::size_t { return kMaxProbes - this->probes.size(); }
 
 auto MachineProbes::Begin(packets::Address machine) -> void {
-  if (this->Room() == 0 || this->probes.contains(machine)) return;
+  if (this->FreeSlots() == 0 || this->probes.contains(machine)) return;
   auto probe = std::make_shared<Probe>(this->io);
   probe->began = base::Now();
   this->probes.emplace(machine, probe);
--- a/src/packetd/internal/operator_reads.cc
+++ b/src/packetd/internal/operator_reads.cc
@@ -13,15 +13,15 @@
 
 // Of the time in which a change has to be in force: a read of any balancer falls due after one part
 // at the earliest and two at the latest; the others are for a call that hangs and its repetition.
-constexpr auto kPartsOfBound = 4;
+constexpr auto kBoundDivisor = 4;
 
 // Longer than an answer takes while the platform is slow.
-constexpr auto kSlowRead = base::milliseconds{400};
+constexpr auto kSlowReadThreshold = base::milliseconds{400};
 
 auto PolicyFor(const Settings& settings) -> platform::SharedReadsPolicy {
   const auto bound = std::min(settings.configuration_within,
                               settings.drains_within.value_or(base::Duration::max()));
-  return {.fresh_for = bound / kPartsOfBound, .spread = bound / kPartsOfBound};
+  return {.fresh_for = bound / kBoundDivisor, .spread = bound / kBoundDivisor};
 }
 
 template <typename T>
@@ -36,7 +36,7 @@
 
 // A link that is narrow for the size of the configuration shows here before anything is late.
 auto LogSlowRead(base::Duration took, const platform::Outcome<platform::Object>& got) -> void {
-  if (took < kSlowRead) return;
+  if (took < kSlowReadThreshold) return;
   const auto* error = ErrorOf(got);
   telemetry::Log(telemetry::LogLevel::kInfo, "configuration_read_slowly",
                  {{"took_ms", took / base::milliseconds{1}},
@@ -47,16 +47,16 @@
 }  // namespace
 
 OperatorReads::OperatorReads(const PlatformClients& clients, const Adapter& adapter,
-                             const Settings& settings, OperatorReadPorts ports)
+                             const Settings& settings, OperatorReadCallbacks callbacks)
     : clients(clients),
       adapter(adapter),
-      ports(std::move(ports)),
+      callbacks(std::move(callbacks)),
       reads_drains(settings.drains_within.has_value()),
       reads(platform::MakeSharedReads(PolicyFor(settings), StartSeed(settings))) {}
 
 auto OperatorReads::Begin(base::TimePoint now) -> void {
   platform::Begin(this->reads, now);
-  this->FetchConfiguration(Freshness::kMayBeOld);
+  this->FetchConfiguration(Freshness::kMayBeStale);
 }
 
 // What comes from another process holds no read back: that one's link may be full.
@@ -71,19 +71,21 @@
                               [this](const platform::Outcome<platform::Listing>& outcome) {
                                 const auto* error = ErrorOf(outcome);
                                 if (error == nullptr) {
-                                  this->ports.on_drains(std::get<platform::Listing>(outcome));
+                                  this->callbacks.on_drains(std::get<platform::Listing>(outcome));
                                 }
-                                this->OnPart(error);
+                                this->OnPartialAnswer(error);
                               });
   }
-  this->GetConfiguration(this->clients.newest,
-                         [this](const platform::PlatformError* error) { this->OnPart(error); });
+  this->GetConfiguration(this->clients.newest, [this](const platform::PlatformError* error) {
+    this->OnPartialAnswer(error);
+  });
 }
 
 auto OperatorReads::FetchConfiguration(Freshness freshness) -> void {
-  auto& client = freshness == Freshness::kNewest ? this->clients.newest : this->clients.may_be_old;
+  auto& client =
+      freshness == Freshness::kNewest ? this->clients.newest : this->clients.may_be_stale;
   this->GetConfiguration(client, [this](const platform::PlatformError* error) {
-    this->ports.on_answer(IsAbsence(error) ? nullptr : error);
+    this->callbacks.on_answer(IsAbsence(error) ? nullptr : error);
     if (error == nullptr) return;
     telemetry::Log(telemetry::LogLevel::kDebug, "configuration_not_fetched",
                    {{"code", static_cast<int>(error->code)}, {"status", error->http_status}});
@@ -91,7 +93,7 @@
 }
 
 auto OperatorReads::IsConfigurationComing() const -> bool {
-  return this->clients.newest.IsReceivingObject() || this->clients.may_be_old.IsReceivingObject();
+  return this->clients.newest.IsReceivingObject() || this->clients.may_be_stale.IsReceivingObject();
 }
 
 auto OperatorReads::GetConfiguration(platform::Client& client,
@@ -103,16 +105,16 @@
                const auto* error = ErrorOf(got);
                LogSlowRead(base::Now() - begun, got);
                if (error == nullptr) {
-                 this->ports.on_configuration(std::get<platform::Object>(got));
+                 this->callbacks.on_configuration(std::get<platform::Object>(got));
                }
                then(error);
              });
 }
 
-auto OperatorReads::OnPart(const platform::PlatformError* error) -> void {
+auto OperatorReads::OnPartialAnswer(const platform::PlatformError* error) -> void {
   // Before the first configuration there is none to be read, and that is known to hold as well.
   if (IsAbsence(error)) error = nullptr;
-  this->ports.on_answer(error);
+  this->callbacks.on_answer(error);
   if (error != nullptr) this->failed = true;
   if (--this->awaited != 0) return;
   const auto now = base::Now();
@@ -121,7 +123,7 @@
     return platform::FailRead(this->reads, now);
   }
   platform::EndRead(this->reads, now);
-  this->ports.on_confirmed();
+  this->callbacks.on_confirmed();
 }
 
 auto OperatorReads::SetBalancers(std::size_t count, base::TimePoint now) -> void {
--- a/src/packetd/internal/operator_view.cc
+++ b/src/packetd/internal/operator_view.cc
@@ -10,16 +10,16 @@
 namespace {
 
 // Lines of records, each of which tells how many were left out before it.
-constexpr auto kRecordLines = telemetry::LogBudget{.burst = 20, .per_second = 5};
+constexpr auto kRecordLogBudget = telemetry::LogBudget{.burst = 20, .per_second = 5};
 
 // Between two lines about calls.
-constexpr auto kCallLineEvery = base::seconds{5};
+constexpr auto kCallLogPeriod = base::seconds{5};
 
 }  // namespace
 
 OperatorView::OperatorView()
     : gate(telemetry::MakeLogGate({}, base::Now())),
-      record_gate(telemetry::MakeLogGate(kRecordLines, base::Now())) {}
+      record_gate(telemetry::MakeLogGate(kRecordLogBudget, base::Now())) {}
 
 auto OperatorView::Serve(boost::asio::io_context& io, const std::optional<base::Endpoint>& local,
                          Collect collect) -> base::Result<void> {
@@ -52,7 +52,7 @@
                   {"left_out", left_out}});
 }
 
-auto OperatorView::LogOdd(std::string_view event, std::string_view subject) -> void {
+auto OperatorView::LogInvalidInput(std::string_view event, std::string_view subject) -> void {
   if (!telemetry::TakeLine(this->gate, base::Now())) return;
   const auto left_out = std::exchange(this->gate.left_out, 0);
   telemetry::Log(telemetry::LogLevel::kWarning, event,
@@ -61,7 +61,7 @@
 
 auto OperatorView::LogCalls(const CallsByFreshness& calls, base::TimePoint now) -> void {
   const auto sum = Sum(calls.newest.sent) + Sum(calls.copies.sent);
-  if (sum == this->logged_calls || now - this->calls_logged_at < kCallLineEvery) return;
+  if (sum == this->logged_calls || now - this->calls_logged_at < kCallLogPeriod) return;
   this->logged_calls = sum;
   this->calls_logged_at = now;
   const auto sent = [&](platform::CallKind kind) {
--- a/src/packetd/internal/operator_view.h
+++ b/src/packetd/internal/operator_view.h
@@ -39,7 +39,7 @@
                    const DecisionBasis& basis) -> void;
 
   /// The same of what another writer sent that names nothing to use; `subject` says which.
-  auto LogOdd(std::string_view event, std::string_view subject) -> void;
+  auto LogInvalidInput(std::string_view event, std::string_view subject) -> void;
 
   /// The same of an agent's record that was read at the platform: all are read at a start.
   auto LogRecord(std::string_view key, bool deleted, std::uint64_t revision) -> void;
--- a/src/packetd/internal/registrar.cc
+++ b/src/packetd/internal/registrar.cc
@@ -19,10 +19,10 @@
     platform::BackoffPolicy{.first = base::milliseconds{300}, .cap = base::seconds{2}};
 
 // Longest wait while others are not answered either, where nobody says that they are again.
-constexpr auto kHeldFor = base::seconds{10};
+constexpr auto kMaxOutageWait = base::seconds{10};
 
 // Over which calls are spread that waited for the platform.
-constexpr auto kSpread = base::seconds{1};
+constexpr auto kResumeSpread = base::seconds{1};
 
 }  // namespace
 
@@ -38,12 +38,12 @@
   auto Create() -> void;
   auto Replace() -> void;
   auto Delete() -> void;
-  auto Look() -> void;
-  auto Found(const Object& object) -> void;
-  auto Done() -> void;
-  auto Failed(const PlatformError& error) -> void;
+  auto Fetch() -> void;
+  auto OnFetched(const Object& object) -> void;
+  auto OnDone() -> void;
+  auto OnFailed(const PlatformError& error) -> void;
   auto SetAnswers(bool platform_answers) -> void;
-  auto Again(base::Duration delay) -> void;
+  auto RunAfter(base::Duration delay) -> void;
 
   /// Wraps a continuation: it runs only while the registrar lives.
   template <typename T>
@@ -51,25 +51,25 @@
     return [weak = this->weak_from_this(), next](Outcome<T> outcome) {
       auto self = weak.lock();
       if (!self || self->stopped) return;
-      if (const auto* error = std::get_if<PlatformError>(&outcome)) return self->Failed(*error);
+      if (const auto* error = std::get_if<PlatformError>(&outcome)) return self->OnFailed(*error);
       ((*self).*next)(std::get<T>(outcome));
     };
   }
-  auto Written(const std::uint64_t& written) -> void;
-  auto Removed(const std::monostate& /*nothing*/) -> void;
+  auto OnWritten(const std::uint64_t& written) -> void;
+  auto OnRemoved(const std::monostate& /*nothing*/) -> void;
 
   PlatformClients clients;
   std::string key;
   boost::asio::steady_timer timer;
   platform::Backoff backoff;
-  std::string wanted;          ///< empty: absent
-  std::string sent;            ///< what the call in flight writes
-  std::uint64_t revision = 0;  ///< of the object as last known; 0: absent as far as known
-  bool looked = false;         ///< the revision is what the platform last told
-  bool expected = false;       ///< the object is probably there
-  bool looks_at_copy = true;   ///< the next look; a copy is asked once, since it may be behind
-  bool answers = true;         ///< the platform, others
-  bool held = false;           ///< the timer waits for that
+  std::string wanted;            ///< empty: absent
+  std::string sent;              ///< what the call in flight writes
+  std::uint64_t revision = 0;    ///< of the object as last known; 0: absent as far as known
+  bool revision_known = false;   ///< the revision is what the platform last told
+  bool object_expected = false;  ///< the object is probably there
+  bool fetches_copy = true;      ///< the next look; a copy is asked once, since it may be behind
+  bool answers = true;           ///< the platform, others
+  bool held = false;             ///< the timer waits for that
   bool running = false;
   bool settled = true;
   bool stopped = false;
@@ -81,61 +81,61 @@
   this->running = true;
   if (!this->answers) {
     this->held = true;
-    return this->Again(kHeldFor);
+    return this->RunAfter(kMaxOutageWait);
   }
   this->sent = this->wanted;
-  const auto look_first = this->expected && this->looks_at_copy && this->revision == 0;
-  if (!this->wanted.empty() && look_first) return this->Look();
+  const auto fetch_first = this->object_expected && this->fetches_copy && this->revision == 0;
+  if (!this->wanted.empty() && fetch_first) return this->Fetch();
   if (!this->wanted.empty()) return this->revision == 0 ? this->Create() : this->Replace();
   if (this->revision != 0) return this->Delete();
-  if (!this->looked) return this->Look();
-  this->Done();
+  if (!this->revision_known) return this->Fetch();
+  this->OnDone();
 }
 
 auto RegistrarCore::Create() -> void {
   this->clients.newest.Put(this->key, this->sent, platform::IfAbsent{},
-                           this->Then<std::uint64_t>(&RegistrarCore::Written));
+                           this->Then<std::uint64_t>(&RegistrarCore::OnWritten));
 }
 
 auto RegistrarCore::Replace() -> void {
   this->clients.newest.Put(this->key, this->sent, platform::IfMatch{this->revision},
-                           this->Then<std::uint64_t>(&RegistrarCore::Written));
+                           this->Then<std::uint64_t>(&RegistrarCore::OnWritten));
 }
 
 auto RegistrarCore::Delete() -> void {
   this->clients.newest.Delete(this->key, platform::IfMatch{this->revision},
-                              this->Then<std::monostate>(&RegistrarCore::Removed));
+                              this->Then<std::monostate>(&RegistrarCore::OnRemoved));
 }
 
-auto RegistrarCore::Look() -> void {
-  const auto copy = std::exchange(this->looks_at_copy, false);
-  auto& client = copy ? this->clients.may_be_old : this->clients.newest;
-  client.Get(this->key, this->Then<Object>(&RegistrarCore::Found));
+auto RegistrarCore::Fetch() -> void {
+  const auto copy = std::exchange(this->fetches_copy, false);
+  auto& client = copy ? this->clients.may_be_stale : this->clients.newest;
+  client.Get(this->key, this->Then<Object>(&RegistrarCore::OnFetched));
 }
 
-auto RegistrarCore::Written(const std::uint64_t& written) -> void {
+auto RegistrarCore::OnWritten(const std::uint64_t& written) -> void {
   this->revision = written;
-  this->Done();
+  this->OnDone();
 }
 
-auto RegistrarCore::Removed(const std::monostate& /*nothing*/) -> void {
+auto RegistrarCore::OnRemoved(const std::monostate& /*nothing*/) -> void {
   this->revision = 0;
-  this->looked = true;
-  this->Done();
+  this->revision_known = true;
+  this->OnDone();
 }
 
-auto RegistrarCore::Found(const Object& object) -> void {
+auto RegistrarCore::OnFetched(const Object& object) -> void {
   this->revision = object.revision;
-  this->looked = true;
-  if (object.value == this->wanted) return this->Done();
+  this->revision_known = true;
+  if (object.value == this->wanted) return this->OnDone();
   this->running = false;
   this->Run();
 }
 
-auto RegistrarCore::Done() -> void {
+auto RegistrarCore::OnDone() -> void {
   platform::Reset(this->backoff);
   this->running = false;
-  this->looks_at_copy = true;
+  this->fetches_copy = true;
   if (this->sent != this->wanted) return this->Run();
   this->settled = true;
   telemetry::Log(
@@ -143,22 +143,22 @@
       {{"key", this->key}, {"present", !this->wanted.empty()}, {"revision", this->revision}});
 }
 
-auto RegistrarCore::Failed(const PlatformError& error) -> void {
-  if (error.code == PlatformErrorCode::kConflict) return this->Look();
+auto RegistrarCore::OnFailed(const PlatformError& error) -> void {
+  if (error.code == PlatformErrorCode::kConflict) return this->Fetch();
   if (error.code == PlatformErrorCode::kNotFound) {
     this->revision = 0;
-    this->looked = true;
+    this->revision_known = true;
     this->running = false;
     return this->Run();
   }
   telemetry::Log(
       telemetry::LogLevel::kInfo, "record_call_failed",
       {{"key", this->key}, {"code", static_cast<int>(error.code)}, {"status", error.http_status}});
-  this->Again(platform::NextDelay(this->backoff));
+  this->RunAfter(platform::NextDelay(this->backoff));
 }
 
-auto RegistrarCore::Again(base::Duration delay) -> void {
-  this->looked = false;
+auto RegistrarCore::RunAfter(base::Duration delay) -> void {
+  this->revision_known = false;
   this->timer.expires_after(delay);
   this->timer.async_wait([weak = this->weak_from_this()](auto error) {
     auto self = weak.lock();
@@ -174,7 +174,7 @@
   this->answers = platform_answers;
   if (!this->answers || !this->held) return;
   this->held = false;
-  this->Again(platform::Jitter(this->backoff, kSpread));
+  this->RunAfter(platform::Jitter(this->backoff, kResumeSpread));
 }
 
 Registrar::Registrar(boost::asio::io_context& io, const PlatformClients& clients, std::string key,
@@ -193,16 +193,16 @@
 }
 
 auto Registrar::Remove() -> void {
-  const auto absent = this->core->looked && this->core->revision == 0;
+  const auto absent = this->core->revision_known && this->core->revision == 0;
   if (this->core->wanted.empty() && this->core->settled && absent) return;
   this->core->wanted.clear();
   this->core->Run();
 }
 
-auto Registrar::ExpectObject() -> void { this->core->expected = true; }
+auto Registrar::ExpectObject() -> void { this->core->object_expected = true; }
 
 auto Registrar::SetPlatformAnswers(bool answers) -> void { this->core->SetAnswers(answers); }
 
-auto Registrar::Settled() const -> bool { return this->core->settled; }
+auto Registrar::IsSettled() const -> bool { return this->core->settled; }
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/internal/settings.cc
+++ b/src/packetd/internal/settings.cc
@@ -18,8 +18,8 @@
 constexpr auto kMaxPort = 65535.0;
 constexpr auto kMaxSeeds = 64.0;
 constexpr auto kMaxSeconds = 3600.0;
-constexpr auto kLeastSeconds = 2.0;     // a watch and the timeout of a call have to fit in
-constexpr auto kLeastHeartbeat = 0.05;  // shorter ones would cost more than they tell
+constexpr auto kMinSeconds = 2.0;            // a watch and the timeout of a call have to fit in
+constexpr auto kMinHeartbeatSeconds = 0.05;  // shorter ones would cost more than they tell
 
 auto TakeV4(const Cursor& at, base::Endpoint& out) -> void {
   if (!json::TakeEndpoint(at, out) || base::IsV4(out)) return;
@@ -66,7 +66,8 @@
   TakeV4(section, "from_target", agent.from_target);
   TakeV4(section, "target", agent.target);
   TakeText(section, "service", agent.service);
-  TakeSeconds(section, "heartbeat_seconds", {kLeastHeartbeat, kMaxSeconds}, agent.heartbeat_period);
+  TakeSeconds(section, "heartbeat_seconds", {kMinHeartbeatSeconds, kMaxSeconds},
+              agent.heartbeat_period);
   TakeSeconds(section, "address_reused_after_seconds", {0, kMaxSeconds},
               agent.address_reused_after);
   return agent;
@@ -88,10 +89,10 @@
   const auto port = json::Find(section, "control_port", Presence::kRequired);
   if (port) json::TakeNumber(*port, {1, kMaxPort}, settings.control_port);
   TakeSeconds(section, "grace_seconds", {0, kMaxSeconds}, settings.grace);
-  TakeSeconds(section, "configuration_within_seconds", {kLeastSeconds, kMaxSeconds},
+  TakeSeconds(section, "configuration_within_seconds", {kMinSeconds, kMaxSeconds},
               settings.configuration_within);
   auto drains_within = base::Duration{};
-  TakeSeconds(section, "drains_within_seconds", {kLeastSeconds, kMaxSeconds}, drains_within);
+  TakeSeconds(section, "drains_within_seconds", {kMinSeconds, kMaxSeconds}, drains_within);
   if (drains_within != base::Duration{}) settings.drains_within = drains_within;
   if (settings.role == Role::kAgent) settings.agent = TakeAgent(section);
   json::CloseSection(section);
--- a/src/packetd/internal/target_watch.cc
+++ b/src/packetd/internal/target_watch.cc
@@ -15,23 +15,23 @@
 
 // A target that starts with this process has opened its port by then: both take some ten
 // milliseconds of processor time.
-constexpr auto kFirstAfter = base::milliseconds{150};
+constexpr auto kFirstConnectDelay = base::milliseconds{150};
 
 // A closed connection tells of the target's end, or of a target that closes idle ones: the next
 // attempt tells which.
-constexpr auto kAgainAfter = base::milliseconds{20};
+constexpr auto kReconnectDelay = base::milliseconds{20};
 
 // After an attempt that failed for another reason than a refusal.
-constexpr auto kRetryAfter = base::milliseconds{1000};
+constexpr auto kRetryDelay = base::milliseconds{1000};
 
 }  // namespace
 
 TargetWatch::TargetWatch(asio::io_context& io, const base::Endpoint& target, OnRefused on_refused)
     : target(target), on_refused(std::move(on_refused)), socket(io), timer(io) {}
 
-auto TargetWatch::Start() -> void { this->ConnectIn(kFirstAfter); }
+auto TargetWatch::Start() -> void { this->ConnectIn(kFirstConnectDelay); }
 
-auto TargetWatch::Heard() -> void {
+auto TargetWatch::OnTargetAlive() -> void {
   if (!this->busy) this->Connect();
 }
 
@@ -40,7 +40,7 @@
   this->target = changed;
   auto ignored_error = error_code{};
   this->socket.close(ignored_error);  // its handlers end; a connection that is gone is no loss
-  this->ConnectIn(kAgainAfter);
+  this->ConnectIn(kReconnectDelay);
 }
 
 auto TargetWatch::ConnectIn(base::Duration delay) -> void {
@@ -59,7 +59,7 @@
   this->socket.async_connect(base::ToTcp(this->target), [this, began](const error_code& error) {
     if (error == asio::error::operation_aborted) return;
     if (!error) return this->AwaitClose();
-    if (error != asio::error::connection_refused) return this->ConnectIn(kRetryAfter);
+    if (error != asio::error::connection_refused) return this->ConnectIn(kRetryDelay);
     this->busy = false;  // until it is heard of again
     this->on_refused(began);
   });
@@ -68,7 +68,7 @@
 auto TargetWatch::AwaitClose() -> void {
   this->socket.async_read_some(asio::buffer(this->ignored), [this](const error_code& error, auto) {
     if (error == asio::error::operation_aborted) return;
-    if (error) return this->ConnectIn(kAgainAfter);
+    if (error) return this->ConnectIn(kReconnectDelay);
     this->AwaitClose();
   });
 }
--- a/src/packetd/machine_probes.h
+++ b/src/packetd/machine_probes.h
@@ -24,7 +24,7 @@
   MachineProbes(boost::asio::io_context& io, std::uint16_t port, OnEnd on_end);
 
   /// Probes that may be begun now.
-  [[nodiscard]] auto Room() const -> std::size_t;
+  [[nodiscard]] auto FreeSlots() const -> std::size_t;
 
   /// Begins a probe, unless one of the machine is under way.
   auto Begin(packets::Address machine) -> void;
--- a/src/packetd/operator_reads.h
+++ b/src/packetd/operator_reads.h
@@ -13,7 +13,7 @@
 namespace anvildrum::packetd {
 
 /// Whom the reads tell.
-struct OperatorReadPorts {
+struct OperatorReadCallbacks {
   std::function<void(const platform::Object&)> on_configuration;
   std::function<void(const platform::Listing&)> on_drains;        ///< all that are drained
   std::function<void(const platform::PlatformError*)> on_answer;  ///< null: no error
@@ -29,8 +29,8 @@
 
 /// Whose answer a read of the configuration alone takes.
 enum class Freshness : std::uint8_t {
-  kNewest,    ///< as it is at the platform now
-  kMayBeOld,  ///< cheaper, from a copy that may be seconds behind
+  kNewest,      ///< as it is at the platform now
+  kMayBeStale,  ///< cheaper, from a copy that may be seconds behind
 };
 
 /// Reads what operators want, the configuration and the drained failure domains, at the platform,
@@ -40,7 +40,7 @@
  public:
   /// `clients` and `adapter` have to outlive it.
   OperatorReads(const PlatformClients& clients, const Adapter& adapter, const Settings& settings,
-                OperatorReadPorts ports);
+                OperatorReadCallbacks callbacks);
 
   /// The first read follows within a part of the bound; a copy of the configuration, which may be
   /// old, is read at once. Whoever started at the same moment is told of the first read.
@@ -51,7 +51,7 @@
   auto Check(base::TimePoint now) -> void;
 
   /// Reads the configuration alone: another balancer has a newer one. An answer confirms nothing,
-  /// and an error is followed by the next regular read. OperatorReadPorts::on_answer is told.
+  /// and an error is followed by the next regular read. OperatorReadCallbacks::on_answer is told.
   auto FetchConfiguration(Freshness freshness) -> void;
 
   /// Whether a configuration is coming from the platform.
@@ -79,11 +79,11 @@
  private:
   auto GetConfiguration(platform::Client& client,
                         std::function<void(const platform::PlatformError*)> then) -> void;
-  auto OnPart(const platform::PlatformError* error) -> void;
+  auto OnPartialAnswer(const platform::PlatformError* error) -> void;
 
   PlatformClients clients;
   const Adapter& adapter;
-  OperatorReadPorts ports;
+  OperatorReadCallbacks callbacks;
   bool reads_drains = false;
   platform::SharedReads reads;
   unsigned awaited = 0;  ///< answers of the read under way
--- a/src/packetd/registrar.h
+++ b/src/packetd/registrar.h
@@ -38,7 +38,7 @@
   auto SetPlatformAnswers(bool answers) -> void;
 
   /// Whether the platform has confirmed what was asked last.
-  [[nodiscard]] auto Settled() const -> bool;
+  [[nodiscard]] auto IsSettled() const -> bool;
 
  private:
   std::shared_ptr<RegistrarCore> core;
--- a/src/packetd/target_watch.h
+++ b/src/packetd/target_watch.h
@@ -32,7 +32,7 @@
   auto Start() -> void;
 
   /// The target has been heard of: connects, unless there is a connection.
-  auto Heard() -> void;
+  auto OnTargetAlive() -> void;
 
   /// Another target stands beside this process from now on.
   auto SetTarget(const base::Endpoint& changed) -> void;
--- a/src/packetd/tests/held_packets_test.cc
+++ b/src/packetd/tests/held_packets_test.cc
@@ -13,19 +13,19 @@
 // A client that repeats itself while its flow is searched would fill the room of all others.
 BOOST_AUTO_TEST_CASE(the_last_packets_of_a_flow_are_kept) {
   auto held = HeldPackets{};
-  for (auto i = std::size_t{0}; i <= HeldPackets::kMostOfFlow; ++i) {
+  for (auto i = std::size_t{0}; i <= HeldPackets::kMaxPacketsPerFlow; ++i) {
     held.Keep(FlowOf(1), std::vector<std::uint8_t>(10, static_cast<std::uint8_t>(i)));
   }
   const auto kept = held.Of(FlowOf(1));
-  BOOST_REQUIRE(kept.size() == HeldPackets::kMostOfFlow);
+  BOOST_REQUIRE(kept.size() == HeldPackets::kMaxPacketsPerFlow);
   BOOST_TEST(kept.front().front() == 1);
-  BOOST_TEST(kept.back().front() == HeldPackets::kMostOfFlow);
+  BOOST_TEST(kept.back().front() == HeldPackets::kMaxPacketsPerFlow);
 }
 
 // All flows of a lost failure domain are searched at once: what they hold may not take the memory
 // of the smallest balancer, and there is room again once flows are found.
 BOOST_AUTO_TEST_CASE(no_more_is_kept_than_there_is_room_for) {
-  constexpr auto large = HeldPackets::kMostBytes / 8;
+  constexpr auto large = HeldPackets::kMaxBytes / 8;
   auto held = HeldPackets{};
   const auto packet = std::vector<std::uint8_t>(large);
   for (auto port = std::uint16_t{0}; port < 8; ++port) held.Keep(FlowOf(port), packet);
--- a/src/packetd/tests/machine_probes_test.cc
+++ b/src/packetd/tests/machine_probes_test.cc
@@ -14,19 +14,19 @@
 
 constexpr auto kMachine = packets::Address{0x7f000001};
 // More than the system keeps for a listener with the least backlog that nobody accepts from.
-constexpr auto kFilling = 8;
+constexpr auto kQueueFillers = 8;
 
 /// A probe's end.
-struct Ended {
+struct ProbeResult {
   packets::Address machine = 0;
   bool answered = false;
 };
 
-auto ProbeOnce(asio::io_context& io, std::uint16_t port) -> std::optional<Ended> {
-  auto ended = std::optional<Ended>{};
+auto ProbeOnce(asio::io_context& io, std::uint16_t port) -> std::optional<ProbeResult> {
+  auto ended = std::optional<ProbeResult>{};
   auto probes =
       MachineProbes{io, port, [&](packets::Address machine, base::TimePoint, bool answered) {
-                      ended = Ended{machine, answered};
+                      ended = ProbeResult{machine, answered};
                       io.stop();
                     }};
   probes.Begin(kMachine);
@@ -62,7 +62,7 @@
   auto io = asio::io_context{1};
   auto acceptor = ListenOn(io);
   auto filling = std::vector<tcp::socket>{};
-  for (auto i = 0; i < kFilling; ++i) {
+  for (auto i = 0; i < kQueueFillers; ++i) {
     auto& socket = filling.emplace_back(io);
     socket.async_connect(acceptor.local_endpoint(), [](const boost::system::error_code&) {});
   }
@@ -80,14 +80,14 @@
   acceptor.close();
   auto ended = std::size_t{0};
   auto probes = MachineProbes{io, port, [&](packets::Address, base::TimePoint, bool) { ++ended; }};
-  const auto room = probes.Room();
+  const auto room = probes.FreeSlots();
   for (auto i = packets::Address{0}; i <= room; ++i) probes.Begin(kMachine + i);
-  BOOST_TEST(probes.Room() == 0U);
+  BOOST_TEST(probes.FreeSlots() == 0U);
   io.run();
   BOOST_TEST(ended == room);
-  BOOST_TEST(probes.Room() == room);
+  BOOST_TEST(probes.FreeSlots() == room);
   probes.Begin(kMachine + static_cast<packets::Address>(room));
-  BOOST_TEST(probes.Room() == room - 1);
+  BOOST_TEST(probes.FreeSlots() == room - 1);
 }
 
 }  // namespace
--- a/src/packetd/types/platform_clients.h
+++ b/src/packetd/types/platform_clients.h
@@ -7,7 +7,7 @@
 /// A process's two ways to the platform's state.
 struct PlatformClients {
   platform::Client& newest;
-  platform::Client& may_be_old;  ///< cheaper, of a copy that may be seconds behind
+  platform::Client& may_be_stale;  ///< cheaper, of a copy that may be seconds behind
 };
 
 }  // namespace anvildrum::packetd
