--- a/src/packetd/addresses.h
+++ b/src/packetd/addresses.h
@@ -9,13 +9,13 @@
 
 namespace anvildrum::packetd {
 
-/// The IPv4 number of an endpoint.
+/// The IPv4 address of an endpoint as a number.
 auto AddressOf(const base::Endpoint& endpoint) -> packets::Address;
 
-/// "10.1.0.12".
+/// Formats an address as in "10.1.0.12".
 auto FormatAddress(packets::Address address) -> std::string;
 
-/// "10.1.0.12:443".
+/// Formats an address and port as in "10.1.0.12:443".
 auto FormatEnd(const packets::End& end) -> std::string;
 
 auto ParseAddress(std::string_view text) -> std::optional<packets::Address>;
--- a/src/packetd/agent_node.h
+++ b/src/packetd/agent_node.h
@@ -22,21 +22,21 @@
 
 namespace anvildrum::packetd {
 
-/// The agent as a process: sockets, timers and the platform round packets::Agent.
+/// The agent process: connects packets::Agent to sockets, timers and the platform.
 class AgentNode {
  public:
-  /// `reload` reads the settings file again: the target beside the agent says that it is of another
-  /// service than they say.
+  /// `reload` has to read the settings file again. It is called when the target reports a service
+  /// other than the one in the settings.
   AgentNode(boost::asio::io_context& io, const Adapter& adapter, const Settings& settings,
             std::function<void()> reload);
 
-  /// Binds all sockets and begins. Errors: net::NetError.
+  /// Binds all sockets and starts to serve. Errors: net::NetError.
   auto Start() -> base::Result<void>;
 
-  /// New settings: seeds, and the target's service and address, are taken up.
+  /// Applies changed seeds and the target's changed service and address.
   auto Reload(const Settings& settings) -> void;
 
-  /// Openings go elsewhere from now on. How long to go on so.
+  /// Directs openings to other agents. Returns how long the process has to continue to run.
   auto Stop() -> base::Duration;
 
  private:
@@ -79,16 +79,16 @@
   OperatorView operators;
   packets::Agent core;
   platform::Client client;
-  platform::Client stale_client;  ///< whose reads may be seconds old
+  platform::Client stale_client;  ///< its reads may be seconds old
   telemetry::Summary& work_seconds;
   Registrar registrar;
   std::uint64_t malformed = 0;
-  packets::TargetState told_state = packets::TargetState::kUnknown;  ///< to balancers, unasked
+  packets::TargetState told_state = packets::TargetState::kUnknown;  ///< last pushed state
   TargetWatch target_watch;
-  PeerConfiguration configuration;  ///< a copy, kept for balancers that find it nowhere else
-  base::TimePoint asked_at{};       ///< for a newer one
-  base::TimePoint reminded_at{};    ///< silent balancers, of this agent
-  packets::AgentCounters logged;    ///< as of the last traffic line
+  PeerConfiguration configuration;  ///< copy for balancers that find no other
+  base::TimePoint asked_at{};       ///< last request for a newer configuration
+  base::TimePoint reminded_at{};    ///< last reports to silent balancers
+  packets::AgentCounters logged;    ///< counters as of the last traffic log line
   std::unique_ptr<net::UdpPort> packet_port;
   std::unique_ptr<net::UdpPort> target_port;
   std::unique_ptr<net::UdpPort> control_port;
--- a/src/packetd/balancer_node.h
+++ b/src/packetd/balancer_node.h
@@ -32,25 +32,26 @@
 
 namespace anvildrum::packetd {
 
-/// Another balancer, as of its last hello.
+/// The state of another balancer as of its last hello.
 struct KnownBalancer {
   base::HeardMark mark;
-  std::uint32_t balancers = 0;  ///< that it hears of, itself included
-  std::uint64_t revision = 0;   ///< of its configuration
+  std::uint32_t balancers = 0;  ///< number of balancers it knows, itself included
+  std::uint64_t revision = 0;   ///< revision of its configuration
 };
 
-/// The balancer as a process: sockets, timers and the platform round packets::Balancer.
+/// The balancer process: connects packets::Balancer to sockets, timers and the platform.
 class BalancerNode {
  public:
   BalancerNode(boost::asio::io_context& io, const Adapter& adapter, const Settings& settings);
 
-  /// Binds all sockets and begins. Errors: net::NetError.
+  /// Binds all sockets and starts to serve. Errors: net::NetError.
   auto Start() -> base::Result<void>;
 
-  /// New settings: a changed list of seeds is taken up; addresses need a new process.
+  /// Applies a changed list of seeds. Changed addresses require a restart.
   auto Reload(const Settings& settings) -> void;
 
-  /// Readiness fails from now on, packets are still forwarded. How long to go on so.
+  /// Lets readiness probes fail while packets are still forwarded. Returns how long the process has
+  /// to continue to run.
   auto Stop() -> base::Duration;
 
  private:
@@ -105,34 +106,34 @@
   packets::Balancer core;
   FlowSearcher searcher;
   platform::Client client;
-  platform::Client stale_client;  ///< whose reads may be seconds old
+  platform::Client stale_client;  ///< its reads may be seconds old
   PeerConfiguration peers;
   OperatorReads reads;
   MachineProbes probes;
   std::optional<packets::NewerConfiguration> newer;
   packets::KeptConfigurations kept;
   base::MarkClock marks;
-  std::map<packets::Address, KnownBalancer> balancers;           ///< that have said hello lately
-  packets::Address last_holder = 0;                              ///< that was told as one
-  packets::HearsayTurn hearsay;                                  ///< of the messages to balancers
-  std::map<base::ServiceId, packets::ServiceHello> last_hellos;  ///< the last hellos
+  std::map<packets::Address, KnownBalancer> balancers;           ///< senders of recent hellos
+  packets::Address last_holder = 0;                              ///< last named holder
+  packets::HearsayTurn hearsay;                                  ///< rotation of reported agents
+  std::map<base::ServiceId, packets::ServiceHello> last_hellos;  ///< to agents, by service
   bool records_read = false;
   std::optional<base::TimePoint> platform_lost_at;
-  bool platform_answers = true;  ///< this balancer or another one, lately
-  bool unconfirmed = false;      ///< the configuration may have been replaced beyond its bound
-  base::TimePoint started_at{};  ///< of the process
+  bool platform_answers = true;  ///< it answered any balancer recently
+  bool unconfirmed = false;      ///< the configuration may be older than allowed
+  base::TimePoint started_at{};  ///< start of the process
   bool stopping = false;
   std::uint64_t malformed = 0;
-  std::uint64_t unreadable = 0;      ///< records and configurations
-  packets::BalancerCounters logged;  ///< as of the last traffic line
+  std::uint64_t unreadable = 0;      ///< records, drains and configurations that could not be used
+  packets::BalancerCounters logged;  ///< counters as of the last traffic log line
   std::unique_ptr<net::UdpPort> packet_port;
   std::unique_ptr<net::UdpPort> control_port;
   std::unique_ptr<net::OperatorPort> readiness_port;
   std::unique_ptr<net::PeriodicTimer> ask_timer;
   std::unique_ptr<net::PeriodicTimer> check_timer;
   std::unique_ptr<net::PeriodicTimer> sweep_timer;
-  std::unique_ptr<platform::PrefixWatcher> configuration_watcher;  ///< at a seed
-  std::unique_ptr<platform::PrefixWatcher> drains_watcher;         ///< the same
+  std::unique_ptr<platform::PrefixWatcher> configuration_watcher;  ///< set only at a seed
+  std::unique_ptr<platform::PrefixWatcher> drains_watcher;         ///< set only at a seed
   std::unique_ptr<platform::PrefixWatcher> record_watcher;
 };
 
--- a/src/packetd/flow_searcher.h
+++ b/src/packetd/flow_searcher.h
@@ -14,7 +14,7 @@
 
 namespace anvildrum::packetd {
 
-/// What a search sends, and the line that it writes when it ends without a result.
+/// Callbacks through which a search sends packets and logs that it ended without a result.
 struct SearchCallbacks {
   std::function<void(packets::Address to, const packets::Control& control)> send_control;
   std::function<void(const packets::Candidate& to, std::span<const std::uint8_t> datagram,
@@ -26,21 +26,24 @@
       log;
 };
 
-/// Carries out the searches of a balancer's core: its timer, its queries and the packets that wait.
+/// Runs the flow searches of packets::Balancer: it owns their timer, sends their queries and holds
+/// the waiting packets.
 class FlowSearcher {
  public:
   FlowSearcher(boost::asio::io_context& io, packets::Balancer& core, SearchCallbacks callbacks);
 
-  /// The core awaits the search for the packet's flow.
+  /// Holds the packet until the search for its flow ends.
   auto Await(const packets::FlowId& flow, std::span<const std::uint8_t> datagram) -> void;
 
   auto OnAnswer(const packets::FlowAnswer& answer, base::TimePoint now) -> void;
 
-  /// An agent gave back the packet that was sent to it to find out whether its target holds a flow.
+  /// Handles a packet that was sent to an agent to find out whether its target holds the flow, and
+  /// that the agent gave back.
   auto OnProbeBack(const packets::FlowId& flow, const packets::GivenBack& given_back,
                    base::TimePoint now) -> void;
 
-  /// An agent gave back `packet`, which was sent to it by a hint; the datagram is in `given_back`.
+  /// Handles `packet`, which was sent to an agent because of a hint and which the agent gave back.
+  /// Its datagram is in `given_back`.
   auto OnGivenBack(const packets::GivenBack& given_back, const packets::Packet& packet,
                    base::TimePoint now) -> void;
 
--- a/src/packetd/held_packets.h
+++ b/src/packetd/held_packets.h
@@ -10,14 +10,14 @@
 
 namespace anvildrum::packetd {
 
-/// Packets that wait until it is known where their flow is: some ten milliseconds, no longer than
-/// packets::SearchPolicy allows.
+/// Packets that are held while the agent of their flow is searched for: typically some ten
+/// milliseconds, at most the time that packets::SearchPolicy allows.
 class HeldPackets {
  public:
   using Datagram = std::vector<std::uint8_t>;
 
-  /// Keeps a copy of the packet. Of a flow the last kMaxPacketsPerFlow stay, and nothing beyond
-  /// kMaxBytes of all: their clients repeat what is dropped.
+  /// Keeps a copy of the packet. Only the last kMaxPacketsPerFlow packets of a flow and kMaxBytes
+  /// in total are held; clients retransmit dropped packets.
   auto Keep(const packets::FlowId& flow, std::span<const std::uint8_t> datagram) -> void;
 
   /// The flow's packets, oldest first.
@@ -25,9 +25,9 @@
 
   auto Drop(const packets::FlowId& flow) -> void;
 
-  /// A request of 900 bytes, what goes before it, and a repetition.
+  /// Room for a request of 900 bytes, the packets before it, and one retransmission.
   static constexpr auto kMaxPacketsPerFlow = std::size_t{4};
-  /// A tenth of what the smallest balancer has.
+  /// A tenth of the memory of the smallest balancer.
   static constexpr auto kMaxBytes = std::size_t{8'000'000};
 
  private:
--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -17,15 +17,16 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// From SIGTERM on: one way to every balancer, so that openings on their way are still passed on.
-// The flows of a live target are silent while the agent is away, so it is kept short.
+// Time from SIGTERM to the end of the process. It covers the one-way delay to every balancer, so
+// that openings in flight are still forwarded. It is short because the flows of a live target
+// stall while the agent is not running.
 constexpr auto kShutdownDelay = base::milliseconds{100};
 
 constexpr auto kOk = 200U;
 constexpr auto kBadRequest = 400U;
 constexpr auto kConflict = 409U;
 
-// Characters of a path in a log line; a caller chooses how long it is.
+// Longest part of a path in a log line, in characters; the sender chooses the path's length.
 constexpr auto kLoggedPath = std::size_t{80};
 
 auto Json(unsigned status) -> net::OperatorResponse {
@@ -38,8 +39,9 @@
   return response;
 }
 
-// Two heartbeats and a half, so that one may be lost; but before the address may serve another
-// service. Openings are withheld from a target that is well if it is shorter than this many.
+// A target counts as silent after two and a half heartbeat periods, so that one heartbeat may be
+// lost, but at the latest when its address may serve another service. The time is at least
+// kMinHeartbeats periods; a shorter one withholds openings from a healthy target.
 constexpr auto kSilentHeartbeats = 2.5;
 constexpr auto kMinHeartbeats = 1.5;
 
@@ -54,15 +56,16 @@
   return std::max(missed, HeartbeatsOf(settings, kMinHeartbeats));
 }
 
-// A target that has sent more heartbeats ran before this process did, and an earlier process has
-// written the record.
+// A target with a higher heartbeat sequence number started before this process, so an earlier
+// process has written the record.
 constexpr auto kMaxStartupHeartbeats = std::uint64_t{2};
 
-// Between two questions for a newer configuration: a storm of changes is not followed step by step.
+// Shortest time between two requests for a newer configuration, so that an agent does not fetch
+// every revision of a rapid series.
 constexpr auto kMinAskInterval = base::milliseconds{500};
 
-// Balancers that are silent are told of this agent this often, so many at a time: after all of them
-// were started again each is known to some agents within half a second, and these are told on.
+// Period and number of the reports to silent balancers. After a restart of all balancers, each one
+// knows some agents within half a second and announces them to the other balancers.
 constexpr auto kRemindPeriod = base::milliseconds{500};
 constexpr auto kMaxReminded = std::size_t{8};
 
@@ -80,8 +83,9 @@
       reload(std::move(reload)),
       client(MakeClient(io, settings, *adapter.dialect)),
       stale_client(MakeClient(io, settings, *adapter.stale_dialect)),
-      work_seconds(telemetry::AddSummary(this->operators.registry, "anvildrum_packets_work_seconds",
-                                         "From a request's last packet to its answer's first")),
+      work_seconds(
+          telemetry::AddSummary(this->operators.registry, "anvildrum_packets_work_seconds",
+                                "Time from a request's last packet to its answer's first packet")),
       registrar(io, {this->client, this->stale_client}, MembersKey(adapter, settings),
                 StartSeed(settings)),
       target_watch(io, settings.agent->target,
@@ -122,8 +126,8 @@
   return {};
 }
 
-// Balancers are told at once of a target that falls silent or was never heard of: what waits for it
-// need not wait for their next hello.
+// A change of the target's state is reported to all balancers at once, for example when the target
+// falls silent, so that packets waiting for it do not have to wait for the next hello.
 auto AgentNode::Check(base::TimePoint now) -> void {
   packets::NoteEvent(this->core.stall, now);
   packets::RefreshPeers(this->core, now);
@@ -132,8 +136,9 @@
   if (std::exchange(this->told_state, state) != state) this->ReportToAll();
 }
 
-// Safeguard: all balancers end at once while the platform is away. Started again they found the
-// configuration nowhere, and nothing was served until the platform was back.
+// Safeguard: if all balancers end at once during a platform outage, they find the configuration
+// nowhere after a restart, and no packet is forwarded until the platform is back. Copies at agents
+// prevent this.
 auto AgentNode::KeepConfiguration(packets::Address balancer, std::uint64_t revision) -> void {
   const auto now = base::Now();
   const auto newer = revision > this->configuration.Revision();
@@ -205,7 +210,7 @@
   return {};
 }
 
-// The target is another one, perhaps of another service, at the same address.
+// The agent may have a different target from now on, possibly of another service.
 auto AgentNode::Reload(const Settings& changed) -> void {
   this->settings.seeds = changed.seeds;
   if (!changed.agent || *changed.agent == *this->settings.agent) return;
@@ -330,7 +335,8 @@
     this->reload();
     outcome = packets::TakeHeartbeat(this->core, *heartbeat, base::Now());
   }
-  // What is not believed is not acknowledged: a target takes an acknowledged departure for known.
+  // A stale heartbeat is not acknowledged, because a target assumes that a departure is known once
+  // it is acknowledged.
   if (outcome == packets::HeartbeatOutcome::kStale) {
     this->LogInvalidInput("heartbeat_not_believed", request.path);
     return Json(kConflict);
@@ -408,7 +414,8 @@
   auto counts = CountsOf(this->core);
   const auto calls = CountsOf(CallsByFreshness{this->client.Counts(), this->stale_client.Counts()});
   counts.insert(counts.end(), calls.begin(), calls.end());
-  counts.push_back({"malformed_total", "Datagrams and heartbeats refused whole", this->malformed});
+  counts.push_back(
+      {"malformed_total", "Datagrams and heartbeats rejected as malformed", this->malformed});
   return counts;
 }
 
@@ -440,7 +447,8 @@
   this->logged = counters;
 }
 
-// The target of a doubtful leave has gone on saying nothing: the leave was its own.
+// Removes the record after a doubtful leave once the target has stayed silent, which shows that the
+// leave was genuine.
 auto AgentNode::RemoveRecordOfSilent(base::TimePoint now) -> void {
   if (!this->core.target.leave_doubtful) return;
   if (packets::StateOf(this->core, now) != packets::TargetState::kAbsent) return;
@@ -455,8 +463,8 @@
   return !this->core.balancers.empty() && this->registrar.IsSettled();
 }
 
-// Where the platform turns this instance away, balancers learn of it from here, and tell each
-// other.
+// If the platform rejects this instance's calls, seeds learn of the agent from these reports and
+// announce it to the other balancers.
 auto AgentNode::AnnounceToSeeds() -> void {
   const auto state = this->core.target.state;
   if (state == packets::TargetState::kAbsent || state == packets::TargetState::kUnknown) return;
--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -20,23 +20,24 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// Between two questions to other balancers while no configuration is known.
+// Period of the requests to other balancers while no configuration is known.
 constexpr auto kAskPeriod = base::milliseconds{250};
 
-// A balancer that has not said hello for this long is not told of agents any more.
+// A balancer that has sent no hello for this long receives no more hellos.
 constexpr auto kBalancerExpiry = base::seconds{5};
 
-// Two hellos, of which one may be lost.
+// Covers two hello periods, so that one hello may be lost.
 constexpr auto kRecentHelloWindow = base::milliseconds{2500};
 
-// Balancers whose counts are compared; more than there are seeds.
+// Number of balancers whose counts are compared, more than there are seeds.
 constexpr auto kMaxBalancerReports = std::size_t{8};
 
-// From SIGTERM on: the fabric asks for readiness twice a second and takes a balancer out after two
-// misses; until then clients' packets still come here.
+// Time from SIGTERM to the end of the process. The fabric probes readiness twice a second and
+// removes a balancer after two failed probes; until then it sends client packets here.
 constexpr auto kShutdownDelay = base::milliseconds{2000};
 
-// Balancers that are looked at for one that has the configuration: most have it, or none does.
+// Number of balancers that are examined for one that has the configuration. Usually most or none of
+// them have it.
 constexpr auto kMaxHoldersExamined = std::size_t{8};
 
 }  // namespace
@@ -69,7 +70,7 @@
   auto opened = this->OpenPorts();
   if (!opened) return opened.error();
   this->Watch();
-  this->SendPeriodicHellos(base::Now());  // they answer with the agents that they know
+  this->SendPeriodicHellos(base::Now());  // the replies list the known agents
   this->ask_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kAskPeriod, [this](base::TimePoint /*now*/) {
         if (!this->core.routes && !this->IsConfigurationComing()) this->peers.Ask();
@@ -182,14 +183,15 @@
     ++this->malformed;
     return;
   }
-  std::visit(base::Overloaded{
-                 [&](const packets::Hello& hello) { this->OnHello(AddressOf(from), hello, now); },
-                 [&](const packets::TargetReport& report) { this->OnReport(report, now); },
-                 [&](const packets::Located& located) { this->searcher.OnLocated(located, now); },
-                 [&](const packets::FlowAnswer& answer) { this->searcher.OnAnswer(answer, now); },
-                 [&](const packets::GivenBack& back) { this->OnGivenBack(back, now); },
-                 [&](const packets::FlowQuery&) { ++this->malformed; }},  // is for agents
-             *control);
+  std::visit(
+      base::Overloaded{
+          [&](const packets::Hello& hello) { this->OnHello(AddressOf(from), hello, now); },
+          [&](const packets::TargetReport& report) { this->OnReport(report, now); },
+          [&](const packets::Located& located) { this->searcher.OnLocated(located, now); },
+          [&](const packets::FlowAnswer& answer) { this->searcher.OnAnswer(answer, now); },
+          [&](const packets::GivenBack& back) { this->OnGivenBack(back, now); },
+          [&](const packets::FlowQuery&) { ++this->malformed; }},  // only agents answer queries
+      *control);
 }
 
 auto BalancerNode::OnGivenBack(const packets::GivenBack& given_back, base::TimePoint now) -> void {
@@ -231,8 +233,8 @@
           }};
 }
 
-// A balancer that is new, or knows of no agent, is told at once which are live: where the platform
-// turns it away, it has nothing else to go by.
+// A balancer that is new or knows no agents is sent all live agents at once. If the platform
+// rejects its calls, it has no other source.
 auto BalancerNode::OnHello(packets::Address from, const packets::Hello& hello, base::TimePoint now)
     -> void {
   const auto is_new = !this->balancers.contains(from);
@@ -278,7 +280,7 @@
   for (const auto agent : due) this->probes.Begin(agent);
 }
 
-// An agent that lacks the list which the last hellos named is sent it.
+// Sends an agent the parts of the last hello's agent list that its report shows as missing.
 auto BalancerNode::OnReport(const packets::TargetReport& report, base::TimePoint now) -> void {
   packets::TakeReport(this->core.view, report, now);
   this->TakeDrained(report.drained, "agent");
@@ -288,8 +290,9 @@
   }
 }
 
-// A new agent is known to all balancers within a second, also to those that the platform turns away
-// or tells late. Balancers find each other by the seeds, which answer whoever says hello.
+// These hellos make a new agent known to all balancers within a second, including balancers whose
+// calls the platform rejects or answers late. Balancers find each other through the seeds, which
+// answer every sender of a hello.
 auto BalancerNode::SendPeriodicHellos(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
                 [&](const auto& entry) { return now - entry.second.mark.at > kBalancerExpiry; });
@@ -305,11 +308,11 @@
   return to;
 }
 
-// Balancers know seeds and whom they have told of themselves; seeds know all.
+// Balancers know the seeds and the balancers that exchange hellos with them; seeds know all.
 //
-// Safeguard: a balancer whose last read has failed waits for its turn among all others. Cut off
-// from them, it would go by an old configuration until it forgets them; so it counts itself alone
-// as soon as it hears of nobody.
+// Safeguard: a balancer whose last read failed waits for its turn among all balancers. If it is cut
+// off from them, it would use an old configuration until their entries expire. The count therefore
+// ignores balancers without a recent hello, and falls to one when there are none.
 auto BalancerNode::BalancerCount(base::TimePoint now) const -> std::size_t {
   auto count = std::size_t{1};
   auto reports = std::size_t{0};
@@ -321,7 +324,7 @@
   return count;
 }
 
-// Others put off their own reads, or read what is new.
+// On receipt, other balancers delay their own reads or fetch a newer configuration.
 auto BalancerNode::SendBriefHello(base::TimePoint now) -> void {
   auto brief = packets::Hello{};
   brief.listed = false;
@@ -350,10 +353,11 @@
   }
 }
 
-// Balancers that have the configuration in turn, so that those which lack it ask different ones.
+// Returns the balancers that have the configuration in rotation, so that those without it ask
+// different ones.
 //
-// Safeguard: balancers that the platform turns away would all ask the seeds at the same moment, and
-// the seeds' links are too narrow to answer within the time of a question.
+// Safeguard: otherwise all balancers whose calls the platform rejects would ask the seeds at the
+// same moment, and the seeds' links are too narrow to answer them before the requests time out.
 auto BalancerNode::NextHolder(packets::Address receiver) -> packets::Address {
   auto entry = this->balancers.upper_bound(this->last_holder);
   for (auto examined = std::size_t{0}; examined < kMaxHoldersExamined; ++examined, ++entry) {
@@ -385,15 +389,17 @@
   counts.insert(counts.end(), reads.begin(), reads.end());
   const auto age = this->ConfigurationAge(base::Now()) / base::milliseconds{1};
   counts.push_back({"configuration_age_ms",
-                    "Since the configuration was confirmed to be the newest",
+                    "Milliseconds since the configuration was confirmed to be the newest",
                     static_cast<std::uint64_t>(age), true});
-  counts.push_back({"configuration_unconfirmed", "Whether that is longer ago than it may be",
+  counts.push_back({"configuration_unconfirmed",
+                    "Whether the last confirmation of the configuration is older than allowed",
                     this->unconfirmed ? 1U : 0U, true});
   if (this->core.routes) {
     counts.push_back({"configuration_version", "Number of the configuration that is in force",
                       this->core.routes->version, true});
   }
-  counts.push_back({"malformed_total", "Datagrams and heartbeats refused whole", this->malformed});
+  counts.push_back(
+      {"malformed_total", "Datagrams and heartbeats rejected as malformed", this->malformed});
   const auto left_out = this->record_watcher->Counters().unreadable;
   counts.push_back({"unreadable_total", "Entries of the platform that could not be used",
                     this->unreadable + left_out});
@@ -424,7 +430,7 @@
   this->logged = counters;
 }
 
-// An agent that keeps lost flows from being reset; 0 where there is none.
+// Returns an agent whose absence prevents the reset of lost flows; 0 if there is none.
 auto BalancerNode::FirstAway() const -> packets::Address {
   for (const auto& [service, hello] : this->last_hellos) {
     const auto away =
--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -9,32 +9,35 @@
 #include "packetd/record.h"
 #include "telemetry/log.h"
 
-// What a balancer follows at the platform: the configuration, drained failure domains, and the
-// records of agents.
+// The part of BalancerNode that reads the platform's state: the configuration, the drained failure
+// domains and the agents' records.
 namespace anvildrum::packetd {
 namespace {
 
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// Changes in quick succession end one watch in this time.
+// Pause between two watches of a seed. It prevents a rapid series of changes from ending more than
+// one watch in this time.
 constexpr auto kSeedPause = base::milliseconds{250};
 
-// Seeds wait this long at the platform for a change; a watch only tells early what the next read
+// Duration of a seed's watch call at the platform. A watch only reports earlier what the next read
 // would find.
 constexpr auto kSeedHold = base::seconds{25};
 
-// Between two questions for a configuration that another balancer has in force, as a part of the
-// time in which it has to be in force: three questions are answered within half of it.
+// The interval between requests for a configuration that another balancer already has is the time
+// within which it has to take effect, divided by this. Three requests are answered within half of
+// that time.
 constexpr auto kAskForNewerDivisor = 8;
 
-// Between failed calls: a configuration has to be read soon after the platform is back, and an
-// instance's budget bounds the calls of a long outage.
+// Backoff between failed calls. It is short so that a configuration is read soon after the platform
+// is back; the instance's call budget limits the calls during a long outage.
 constexpr auto kWatchBackoff =
     platform::BackoffPolicy{.first = base::milliseconds{200}, .cap = base::milliseconds{1000}};
 
-// Records tell a balancer whom to say hello to; what changes quickly it hears from agents and other
-// balancers. A fleet's start is read by a few calls instead of one for each agent.
+// Records tell a balancer which agents to send hellos to; agents and other balancers report what
+// changes quickly. The pause lets a few calls read the records of a starting fleet, instead of one
+// call for each agent.
 constexpr auto kRecordHold = base::seconds{8};
 constexpr auto kRecordPause = base::seconds{2};
 
@@ -73,8 +76,9 @@
                      [&](const base::Endpoint& seed) { return AddressOf(seed) == this->core.own; });
 }
 
-// Changes reach the fleet within milliseconds by the few balancers that are seeds: they wait for
-// them at the platform and tell the others. That they do is not relied on.
+// The few balancers that are seeds watch the platform and tell the others of changes, so that these
+// reach the fleet within milliseconds. Correctness does not depend on it, because every balancer
+// also takes part in the regular reads.
 auto BalancerNode::WatchAsSeed() -> void {
   this->configuration_watcher.reset();
   this->drains_watcher.reset();
@@ -104,9 +108,9 @@
           .on_confirmed = [this] { this->SendBriefHello(base::Now()); }};
 }
 
-// An agent keeps a configuration, and this balancer has found none for a while, or one that nobody
-// has confirmed. What agents keep is what was in force when they last heard of a balancer; a newer
-// one replaces it as soon as the platform answers.
+// Asks an agent for its stored configuration if this balancer has found none for a while, or has an
+// unconfirmed older one. The agent's copy is the configuration in force when it last heard from a
+// balancer; a newer one replaces it as soon as the platform answers.
 auto BalancerNode::AskAgent(const packets::TargetReport& report, base::TimePoint now) -> void {
   if (this->reads.Age(now)) return;
   const auto ask = packets::TakeKept(this->kept, report.revision, now - this->started_at);
@@ -117,8 +121,9 @@
   }
 }
 
-// Whether the other balancer's read confirms what this one has. Seeds tell it on, where it is news:
-// others know no balancers but seeds. A hello without an echo may have been on its way for long.
+// Takes the other balancer's last read as a confirmation if both have the same state. Returns true
+// if a seed should pass it on, because other balancers may know no balancers but seeds. A hello
+// without an echo is ignored, because it may have been delayed for long.
 auto BalancerNode::TakeConfirmation(const packets::Hello& hello, base::TimePoint now) -> bool {
   const auto same = hello.revision == this->peers.Revision() &&
                     hello.drained.domains == this->core.view.drained.domains;
@@ -131,12 +136,13 @@
   return this->reads.Age(now).value_or(now - this->started_at);
 }
 
-// It has answered neither this balancer nor, since then, another one.
+// Whether the platform has not answered this balancer and, since then, no other one either.
 auto BalancerNode::IsPlatformSilent(base::TimePoint now) const -> bool {
   return this->platform_lost_at && this->ConfigurationAge(now) > now - *this->platform_lost_at;
 }
 
-// One line when what is in force may be older than it has to be, one when it is known not to be.
+// Logs one line when the configuration in force may be older than allowed, and one when it has been
+// confirmed again.
 auto BalancerNode::LogFreshness(base::TimePoint now) -> void {
   const auto age = this->ConfigurationAge(now);
   const auto late = this->core.routes && age > this->settings.configuration_within;
@@ -158,12 +164,14 @@
   }
 }
 
-// From wherever. Another one would share the link with it, and both would come later.
+// Whether a configuration is being received from the platform or a peer. A second transfer would
+// share the link with it and delay both.
 auto BalancerNode::IsConfigurationComing() const -> bool {
   return this->reads.IsConfigurationComing() || this->peers.IsConfigurationComing();
 }
 
-// The other balancer may have gone since, and the platform may not answer this one.
+// The source varies, because the other balancer may no longer exist and the platform may not answer
+// this balancer.
 auto BalancerNode::AskForNewer(base::TimePoint now) -> void {
   const auto basis =
       packets::AskBasis{.revision = this->peers.Revision(),
@@ -183,8 +191,8 @@
   }
 }
 
-// What this balancer asks in an outage falls with the number of balancers, and it asks soon after
-// another one was answered.
+// Reduces this balancer's call rate in an outage as the number of balancers grows, and makes it
+// retry soon after another balancer was answered.
 auto BalancerNode::PaceCalls(base::TimePoint now) -> void {
   this->reads.SetBalancers(this->BalancerCount(now), now);
   const auto age = this->ConfigurationAge(now);
@@ -196,7 +204,7 @@
   this->record_watcher->Hasten(kRecordPause);
 }
 
-// Reads of the configuration tell of the platform: one line when it is lost, one when it is back.
+// Logs one line when reads of the configuration begin to fail and one when they succeed again.
 auto BalancerNode::OnAnswer(const platform::PlatformError* error) -> void {
   const auto now = base::Now();
   if (error == nullptr) {
@@ -216,7 +224,7 @@
 
 auto BalancerNode::OnConfiguration(const platform::Object& object, std::string_view from) -> void {
   if (object.deleted || object.key != this->adapter.configuration_key) return;
-  if (object.revision == this->peers.Revision()) return;  // in force already
+  if (object.revision == this->peers.Revision()) return;  // already in force
   auto routes = this->adapter.decode_configuration(object.value);
   if (!routes) {
     ++this->unreadable;
--- a/src/packetd/internal/common.cc
+++ b/src/packetd/internal/common.cc
@@ -9,9 +9,9 @@
 namespace anvildrum::packetd {
 namespace {
 
-// A call is repeated on a new connection when its answer does not begin, or stops coming, for this
-// long: a connection may go silent without a reset, and a configuration has to be in force three
-// seconds after it was accepted. An answer begins after some milliseconds, and after up to 300
+// A call is repeated on a new connection when no data of its answer has arrived for this long. A
+// connection may stop working without a reset, and a configuration has to take effect within three
+// seconds after its acceptance. An answer begins after some milliseconds, or after up to 300 ms
 // while the platform is slow.
 constexpr auto kCallTimeout = base::milliseconds{1000};
 
--- a/src/packetd/internal/common.h
+++ b/src/packetd/internal/common.h
@@ -12,27 +12,27 @@
 
 namespace anvildrum::packetd {
 
-/// Largest datagram of a flow: header and payload, with room to spare.
+/// Largest datagram of a flow, header and payload, with a margin.
 inline constexpr auto kMaxDatagram = std::size_t{1500};
 
-/// Between two sweeps of tables for what has been quiet.
+/// Period of the removal of idle entries from tables.
 inline constexpr auto kSweepPeriod = base::seconds{1};
 
-/// Socket buffers of a port for packets, in bytes: half a second of a port's largest share at 1,500
-/// bytes a packet.
+/// Size of the socket buffers of a packet port, in bytes: holds half a second of the largest load
+/// of a port at 1,500 bytes per packet.
 inline constexpr auto kPacketBuffer = 1024 * 1024;
 
-/// A client of the platform with this process's share of its calls.
+/// Creates a client of the platform with this process's call budget.
 auto MakeClient(boost::asio::io_context& io, const Settings& settings,
                 const platform::Dialect& dialect) -> platform::Client;
 
-/// Differs between instances and between their starts.
+/// A seed for random numbers that differs between instances and between their starts.
 auto StartSeed(const Settings& settings) -> std::uint64_t;
 
 /// The control port's endpoint at an instance.
 auto ControlEndpoint(const Settings& settings, packets::Address instance) -> base::Endpoint;
 
-/// Sends a packet on to an agent, with this stamp.
+/// Forwards a copy of the datagram, with this stamp, to an agent.
 auto ForwardPacket(net::UdpPort& port, const Adapter& adapter, const base::Endpoint& to,
                    std::span<const std::uint8_t> datagram, const packets::Stamp& stamp) -> void;
 
--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -45,7 +45,7 @@
   this->Apply({packets::FlowFound{located.flow, holder}});
 }
 
-// Runs while there are searches, so that a balancer without any is not woken for them.
+// The timer runs only while there are searches, so that an idle balancer is not woken up.
 auto FlowSearcher::Arm() -> void {
   if (std::exchange(this->armed, true)) return;
   this->timer.expires_after(packets::kSearchCheck);
--- a/src/packetd/internal/machine_probes.cc
+++ b/src/packetd/internal/machine_probes.cc
@@ -12,13 +12,13 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// A machine answers within two ways, some milliseconds. The first packet of an attempt may be lost,
-// and the system repeats it only after a second; so a second attempt follows.
+// A machine answers within one round trip, some milliseconds. The first packet of an attempt may be
+// lost, and the operating system retransmits it only after a second, so a second attempt follows.
 constexpr auto kAnswerWithin = base::milliseconds{300};
 constexpr auto kAttempts = 2U;
 
-// Sockets of probes at a time: a failure domain of hundreds of machines is asked within some
-// seconds.
+// Largest number of concurrent probes. It allows probing a failure domain of hundreds of machines
+// within some seconds.
 constexpr auto kMaxProbes = std::size_t{256};
 
 }  // namespace
@@ -36,7 +36,8 @@
   this->Connect(machine, probe);
 }
 
-// Handlers of an attempt that was given up find the socket closed, and are told so by their error.
+// Closing the socket cancels the previous attempt, whose handlers are called with
+// operation_aborted.
 auto MachineProbes::Connect(packets::Address machine, const std::shared_ptr<Probe>& probe) -> void {
   ++probe->attempt;
   auto ignored_error = error_code{};
--- a/src/packetd/internal/metrics.cc
+++ b/src/packetd/internal/metrics.cc
@@ -17,15 +17,15 @@
 auto CountsOf(const packets::Balancer& balancer) -> std::vector<NamedCount> {
   const auto& counters = balancer.counters;
   return {
-      {"openings_total", "Openings of flows, copies included", counters.openings},
+      {"openings_total", "Openings of flows, repeated ones included", counters.openings},
       {"copies_total", "Openings that their client repeated", counters.copies},
       {"forwarded_total", "Packets sent to agents", counters.forwarded},
-      {"searched_total", "Packets of flows that were not remembered", counters.unhinted},
+      {"searched_total", "Packets of flows without a known agent", counters.unhinted},
       {"no_route_total", "Packets to an address without a route", counters.no_route},
       {"no_target_total", "Packets for a service without an agent", counters.no_target},
       {"refused_total", "Openings answered by a reset", counters.refused},
       {"suspicions_total", "Openings that an agent left without an answer", counters.suspicions},
-      {"queries_total", "Agents asked for flows that were not remembered", counters.queries},
+      {"queries_total", "Queries to agents about flows without a known agent", counters.queries},
       {"found_total", "Flows that an agent said it holds", counters.found},
       {"not_found_total", "Searches for flows without a result", counters.not_found},
       {"resets_total", "Flows that no target holds, answered by a reset", counters.resets},
@@ -37,17 +37,17 @@
 auto CountsOf(const packets::Agent& agent) -> std::vector<NamedCount> {
   const auto& counters = agent.counters;
   return {
-      {"delivered_total", "Packets given to the target", counters.delivered},
+      {"delivered_total", "Packets delivered to the target", counters.delivered},
       {"replies_total", "Packets of the target sent to clients", counters.replies},
       {"returned_total", "Packets that the target gave back", counters.returned},
       {"passed_on_total", "Openings sent to the next agent", counters.passed_on},
-      {"over_limit_total", "Openings for which the target had no place", counters.over_limit},
-      {"over_cold_total", "Those that the target would not bear while it is cold",
+      {"over_limit_total", "Openings beyond the limit of the target", counters.over_limit},
+      {"over_cold_total", "Openings over the limit because the target was still cold",
        counters.over_cold},
       {"drained", "Whether the target's failure domain is drained",
        packets::IsDrained(agent.drained, agent.domain) ? 1U : 0U, true},
       {"wrong_service_total", "Packets for another service", counters.wrong_service},
-      {"none_left_total", "Openings that no agent took", counters.none_left},
+      {"none_left_total", "Openings that no agent accepted", counters.none_left},
       {"given_back_total", "Packets sent back to their balancer", counters.given_back},
       {"queried_total", "Flows that balancers asked for", counters.queried},
       {"elsewhere_total", "Packets of flows that opened at another target", counters.elsewhere},
@@ -60,14 +60,17 @@
 auto CountsOf(const CallsByFreshness& calls) -> std::vector<NamedCount> {
   return {
       {"platform_calls_total", "Calls sent to the platform", Sum(calls.newest.sent)},
-      {"platform_calls_failed_total", "Calls that ended in an error", Sum(calls.newest.failed)},
-      {"platform_calls_over_budget_total", "Calls not sent: budget used up",
+      {"platform_calls_failed_total", "Calls to the platform that ended in an error",
+       Sum(calls.newest.failed)},
+      {"platform_calls_over_budget_total",
+       "Calls to the platform that were not sent because the budget was used up",
        Sum(calls.newest.refused)},
       {"platform_copy_calls_total", "Calls to the platform that a copy may answer",
        Sum(calls.copies.sent)},
-      {"platform_copy_calls_failed_total", "Those that ended in an error",
+      {"platform_copy_calls_failed_total", "Calls that a copy may answer that ended in an error",
        Sum(calls.copies.failed)},
-      {"platform_answers_cut_short_total", "Answers of the platform given up while they came",
+      {"platform_answers_cut_short_total",
+       "Answers of the platform that were aborted during their transfer",
        calls.newest.cut_short + calls.copies.cut_short},
   };
 }
@@ -75,8 +78,9 @@
 auto CountsOf(const OperatorReadCounters& reads) -> std::vector<NamedCount> {
   return {
       {"operator_reads_total", "Reads of the configuration in this balancer's turn", reads.reads},
-      {"operator_reads_failed_total", "Those that ended in an error", reads.failed},
-      {"confirmations_total", "Reads of other balancers that took the place of own ones",
+      {"operator_reads_failed_total", "Reads of the configuration that ended in an error",
+       reads.failed},
+      {"confirmations_total", "Reads of other balancers that replaced own reads",
        reads.confirmations},
   };
 }
--- a/src/packetd/internal/operator_reads.cc
+++ b/src/packetd/internal/operator_reads.cc
@@ -11,11 +11,12 @@
 namespace anvildrum::packetd {
 namespace {
 
-// Of the time in which a change has to be in force: a read of any balancer falls due after one part
-// at the earliest and two at the latest; the others are for a call that hangs and its repetition.
+// The time within which a change has to take effect is divided into this many parts. The next read
+// of any balancer is due after one part at the earliest and two at the latest; the remaining parts
+// leave time for a call that hangs and its retry.
 constexpr auto kBoundDivisor = 4;
 
-// Longer than an answer takes while the platform is slow.
+// Longer than an answer usually takes while the platform is slow.
 constexpr auto kSlowReadThreshold = base::milliseconds{400};
 
 auto PolicyFor(const Settings& settings) -> platform::SharedReadsPolicy {
@@ -29,12 +30,13 @@
   return std::get_if<platform::PlatformError>(&outcome);
 }
 
-// The platform has answered that there is none.
+// Whether the platform has answered that the object does not exist.
 auto IsAbsence(const platform::PlatformError* error) -> bool {
   return error != nullptr && error->code == platform::PlatformErrorCode::kNotFound;
 }
 
-// A link that is narrow for the size of the configuration shows here before anything is late.
+// These lines show a link that is too narrow for the size of the configuration before a deadline is
+// missed.
 auto LogSlowRead(base::Duration took, const platform::Outcome<platform::Object>& got) -> void {
   if (took < kSlowReadThreshold) return;
   const auto* error = ErrorOf(got);
@@ -59,7 +61,8 @@
   this->FetchConfiguration(Freshness::kMayBeStale);
 }
 
-// What comes from another process holds no read back: that one's link may be full.
+// A configuration that is being received from another process does not delay a read, because the
+// link of that process may be saturated.
 auto OperatorReads::Check(base::TimePoint now) -> void {
   if (!platform::IsReadDue(this->reads, now) || this->IsConfigurationComing()) return;
   platform::BeginRead(this->reads, now);
@@ -112,7 +115,8 @@
 }
 
 auto OperatorReads::OnPartialAnswer(const platform::PlatformError* error) -> void {
-  // Before the first configuration there is none to be read, and that is known to hold as well.
+  // Before the first configuration is written, the object is absent. That answer is a confirmation
+  // too.
   if (IsAbsence(error)) error = nullptr;
   this->callbacks.on_answer(error);
   if (error != nullptr) this->failed = true;
--- a/src/packetd/internal/operator_view.cc
+++ b/src/packetd/internal/operator_view.cc
@@ -9,10 +9,10 @@
 namespace anvildrum::packetd {
 namespace {
 
-// Lines of records, each of which tells how many were left out before it.
+// Budget for log lines about records. Each line states how many were left out before it.
 constexpr auto kRecordLogBudget = telemetry::LogBudget{.burst = 20, .per_second = 5};
 
-// Between two lines about calls.
+// Shortest time between two log lines about calls.
 constexpr auto kCallLogPeriod = base::seconds{5};
 
 }  // namespace
--- a/src/packetd/internal/peer_configuration.cc
+++ b/src/packetd/internal/peer_configuration.cc
@@ -14,7 +14,7 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// A peer that is off does not answer; it is asked again every hello period while it is needed.
+// A peer that is off does not answer. While a configuration is needed it is asked again.
 constexpr auto kAnswerWithin = base::milliseconds{500};
 
 constexpr auto kOk = 200U;
@@ -45,7 +45,8 @@
   return this->adapter.dialect->get(this->adapter.configuration_key).target;
 }
 
-// Others ask at the same moment, and encoding is most of the work.
+// The encoded text is kept, because many processes ask at the same moment and encoding is most of
+// the work.
 auto PeerConfiguration::Answer() -> net::OperatorResponse {
   if (!this->kept) {
     return {.status = kUnavailable, .content_type = "application/json", .body = "{}"};
@@ -101,7 +102,7 @@
   }
 }
 
-// The callback dies with the client, and the client with its peer.
+// The callback may refer to the peer: the peer owns the client, and the client owns the callback.
 auto PeerConfiguration::AskOne(Peer& peer, std::function<void()> on_failure) -> void {
   if (peer.client == nullptr) {
     peer.client = std::make_unique<platform::Client>(platform::ClientBuilder{}
--- a/src/packetd/internal/registrar.cc
+++ b/src/packetd/internal/registrar.cc
@@ -13,15 +13,15 @@
 using platform::PlatformError;
 using platform::PlatformErrorCode;
 
-// The first repetition comes soon, since an agent without a record is found by seeds only; the cap
-// keeps a fleet's calls during an outage below one a second each.
+// The first retry follows soon, because only seeds know an agent without a record. The cap keeps
+// the calls of each agent during an outage below one per second.
 constexpr auto kBackoff =
     platform::BackoffPolicy{.first = base::milliseconds{300}, .cap = base::seconds{2}};
 
-// Longest wait while others are not answered either, where nobody says that they are again.
+// Longest wait during a platform outage, in case no balancer reports its end.
 constexpr auto kMaxOutageWait = base::seconds{10};
 
-// Over which calls are spread that waited for the platform.
+// Calls that waited for the platform are spread over this time.
 constexpr auto kResumeSpread = base::seconds{1};
 
 }  // namespace
@@ -45,7 +45,7 @@
   auto SetAnswers(bool platform_answers) -> void;
   auto RunAfter(base::Duration delay) -> void;
 
-  /// Wraps a continuation: it runs only while the registrar lives.
+  /// Wraps a continuation so that it runs only during the lifetime of the registrar.
   template <typename T>
   auto Then(void (RegistrarCore::*next)(const T&)) -> platform::Callback<T> {
     return [weak = this->weak_from_this(), next](Outcome<T> outcome) {
@@ -62,14 +62,14 @@
   std::string key;
   boost::asio::steady_timer timer;
   platform::Backoff backoff;
-  std::string wanted;            ///< empty: absent
-  std::string sent;              ///< what the call in flight writes
-  std::uint64_t revision = 0;    ///< of the object as last known; 0: absent as far as known
-  bool revision_known = false;   ///< the revision is what the platform last told
-  bool object_expected = false;  ///< the object is probably there
-  bool fetches_copy = true;      ///< the next look; a copy is asked once, since it may be behind
-  bool answers = true;           ///< the platform, others
-  bool held = false;             ///< the timer waits for that
+  std::string wanted;            ///< requested value; empty: absent
+  std::string sent;              ///< value that the pending call writes
+  std::uint64_t revision = 0;    ///< last known one of the object; 0: absent or unknown
+  bool revision_known = false;   ///< `revision` is the platform's last answer
+  bool object_expected = false;  ///< the object probably exists
+  bool fetches_copy = true;      ///< for the next fetch; once only, as a copy may be stale
+  bool answers = true;           ///< whether the platform answers other instances
+  bool held = false;             ///< the timer waits until the platform answers
   bool running = false;
   bool settled = true;
   bool stopped = false;
@@ -164,7 +164,7 @@
     auto self = weak.lock();
     if (error || !self || self->stopped) return;
     self->running = false;
-    // Whoever said that the platform is silent may have gone.
+    // The balancer that reported the platform as silent may no longer exist.
     if (std::exchange(self->held, false)) self->answers = true;
     self->Run();
   });
--- a/src/packetd/internal/run.cc
+++ b/src/packetd/internal/run.cc
@@ -25,8 +25,8 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// The settings may change without a signal. Seeds are the only part that matters at once, and they
-// are allowed to be seconds old.
+// The settings file may change without a signal. Only changed seeds matter soon, and they may be
+// seconds old.
 constexpr auto kReloadPeriod = base::seconds{2};
 
 auto ReportFaults(const std::vector<json::ReadError>& errors) -> void {
@@ -35,7 +35,7 @@
   }
 }
 
-/// A node of either role, with its process's life: start, reload, stop.
+/// A node of either role and the lifecycle of its process: start, reload, stop.
 template <typename Node>
 struct Process {
   Process(const std::filesystem::path& file, const Adapter& adapter, const Settings& settings)
@@ -108,8 +108,8 @@
 }  // namespace
 
 auto Run(const std::filesystem::path& settings_file, const Adapter& adapter) -> int {
-  // Until Process handles it, SIGHUP would end the process. A change that is missed meanwhile is
-  // found by the next regular reload.
+  // SIGHUP is ignored until Process handles it, because its default action would end the process.
+  // The next regular reload finds a change that is missed meanwhile.
   std::signal(SIGHUP, SIG_IGN);
   const auto loaded = LoadSettings(settings_file);
   if (const auto* errors = std::get_if<std::vector<json::ReadError>>(&loaded)) {
--- a/src/packetd/internal/settings.cc
+++ b/src/packetd/internal/settings.cc
@@ -18,8 +18,8 @@
 constexpr auto kMaxPort = 65535.0;
 constexpr auto kMaxSeeds = 64.0;
 constexpr auto kMaxSeconds = 3600.0;
-constexpr auto kMinSeconds = 2.0;            // a watch and the timeout of a call have to fit in
-constexpr auto kMinHeartbeatSeconds = 0.05;  // shorter ones would cost more than they tell
+constexpr auto kMinSeconds = 2.0;            // has to exceed a watch and the timeout of a call
+constexpr auto kMinHeartbeatSeconds = 0.05;  // shorter periods cost more than they gain
 
 auto TakeV4(const Cursor& at, base::Endpoint& out) -> void {
   if (!json::TakeEndpoint(at, out) || base::IsV4(out)) return;
@@ -42,7 +42,7 @@
   if (at && json::TakeChoice(*at, kRoles, choice)) out = static_cast<Role>(choice);
 }
 
-// Left as it is where the key is missing.
+// Leaves `out` unchanged if the key is missing.
 auto TakeSeconds(Section& section, std::string_view key, json::Range range, base::Duration& out)
     -> void {
   auto seconds = 0.0;
--- a/src/packetd/internal/target_watch.cc
+++ b/src/packetd/internal/target_watch.cc
@@ -13,15 +13,15 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// A target that starts with this process has opened its port by then: both take some ten
-// milliseconds of processor time.
+// A target that starts together with this process has opened its port by then. Both need some ten
+// milliseconds of processor time to start.
 constexpr auto kFirstConnectDelay = base::milliseconds{150};
 
-// A closed connection tells of the target's end, or of a target that closes idle ones: the next
-// attempt tells which.
+// A connection is closed when the target ends, or when the target closes idle connections. The next
+// attempt after this delay tells which.
 constexpr auto kReconnectDelay = base::milliseconds{20};
 
-// After an attempt that failed for another reason than a refusal.
+// Delay after an attempt that failed for a reason other than a refusal.
 constexpr auto kRetryDelay = base::milliseconds{1000};
 
 }  // namespace
@@ -39,7 +39,7 @@
   if (this->target == changed) return;
   this->target = changed;
   auto ignored_error = error_code{};
-  this->socket.close(ignored_error);  // its handlers end; a connection that is gone is no loss
+  this->socket.close(ignored_error);  // cancels its handlers; a failed close is harmless
   this->ConnectIn(kReconnectDelay);
 }
 
@@ -54,13 +54,13 @@
 auto TargetWatch::Connect() -> void {
   this->busy = true;
   auto ignored_error = error_code{};
-  this->socket.close(ignored_error);  // of the attempt before; nothing is left to do with it
+  this->socket.close(ignored_error);  // of the previous attempt; errors are irrelevant
   const auto began = base::Now();
   this->socket.async_connect(base::ToTcp(this->target), [this, began](const error_code& error) {
     if (error == asio::error::operation_aborted) return;
     if (!error) return this->AwaitClose();
     if (error != asio::error::connection_refused) return this->ConnectIn(kRetryDelay);
-    this->busy = false;  // until it is heard of again
+    this->busy = false;  // until the next sign of life
     this->on_refused(began);
   });
 }
--- a/src/packetd/machine_probes.h
+++ b/src/packetd/machine_probes.h
@@ -14,19 +14,20 @@
 
 namespace anvildrum::packetd {
 
-/// Asks machines for a connection: one that is up accepts or refuses it, whatever runs there; one
-/// that is off, or cannot be reached, leaves it unanswered. Nothing is sent on it.
+/// Probes machines by TCP connection attempts. A running machine accepts or refuses the connection,
+/// whichever processes run there; a machine that is off or unreachable does not answer. No data is
+/// sent on the connection.
 class MachineProbes {
  public:
   using OnEnd = std::function<void(packets::Address machine, base::TimePoint began, bool answered)>;
 
-  /// `port`: of the same number at every machine.
+  /// `port`: the TCP port to connect to, the same at every machine.
   MachineProbes(boost::asio::io_context& io, std::uint16_t port, OnEnd on_end);
 
-  /// Probes that may be begun now.
+  /// Number of further probes that may be started now.
   [[nodiscard]] auto FreeSlots() const -> std::size_t;
 
-  /// Begins a probe, unless one of the machine is under way.
+  /// Starts a probe, unless one of the machine is running or no slot is free.
   auto Begin(packets::Address machine) -> void;
 
  private:
--- a/src/packetd/metrics.h
+++ b/src/packetd/metrics.h
@@ -13,18 +13,18 @@
 
 namespace anvildrum::packetd {
 
-/// A count of the core as it is exported: docs/OPERATIONS.md explains each.
+/// A counter or gauge for export. docs/OPERATIONS.md describes each of them.
 struct NamedCount {
   std::string_view name;  ///< Prometheus name, without the common prefix
   std::string_view help;
   std::uint64_t value = 0;
-  bool is_gauge = false;  ///< it may fall
+  bool is_gauge = false;  ///< the value may decrease
 };
 
-/// Calls of a process to the platform.
+/// Counts of a process's calls to the platform, by the freshness of the answers.
 struct CallsByFreshness {
   platform::CallCounts newest;
-  platform::CallCounts copies;  ///< that a copy may answer
+  platform::CallCounts copies;  ///< calls that a copy of the state may answer
 };
 
 auto Sum(std::span<const std::uint64_t> counts) -> std::uint64_t;
@@ -34,7 +34,7 @@
 auto CountsOf(const CallsByFreshness& calls) -> std::vector<NamedCount>;
 auto CountsOf(const OperatorReadCounters& reads) -> std::vector<NamedCount>;
 
-/// Brings the exported counters up to these values.
+/// Sets the exported counters and gauges to these values.
 auto Export(telemetry::Registry& registry, const std::vector<NamedCount>& counts) -> void;
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/operator_reads.h
+++ b/src/packetd/operator_reads.h
@@ -12,66 +12,69 @@
 
 namespace anvildrum::packetd {
 
-/// Whom the reads tell.
+/// Callbacks for the results of reads.
 struct OperatorReadCallbacks {
   std::function<void(const platform::Object&)> on_configuration;
-  std::function<void(const platform::Listing&)> on_drains;        ///< all that are drained
-  std::function<void(const platform::PlatformError*)> on_answer;  ///< null: no error
-  std::function<void()> on_confirmed;  ///< all of a read has been given: others may put off theirs
+  std::function<void(const platform::Listing&)> on_drains;        ///< all drained domains
+  std::function<void(const platform::PlatformError*)> on_answer;  ///< null: success
+  std::function<void()> on_confirmed;  ///< after a complete read; others can delay theirs
 };
 
-/// Reads since the start, and what others told in place of own ones.
+/// Reads since the start, and confirmations by other balancers that replaced own reads.
 struct OperatorReadCounters {
   std::uint64_t reads = 0;
-  std::uint64_t failed = 0;         ///< of these
-  std::uint64_t confirmations = 0;  ///< of others that made what is known here newer
+  std::uint64_t failed = 0;         ///< reads that failed
+  std::uint64_t confirmations = 0;  ///< reads of others that reduced the age of the known state
 };
 
-/// Whose answer a read of the configuration alone takes.
+/// How fresh the answer to a read of the configuration alone has to be.
 enum class Freshness : std::uint8_t {
-  kNewest,      ///< as it is at the platform now
-  kMayBeStale,  ///< cheaper, from a copy that may be seconds behind
+  kNewest,      ///< the current state of the platform
+  kMayBeStale,  ///< cheaper; from a copy that may be seconds old
 };
 
-/// Reads what operators want, the configuration and the drained failure domains, at the platform,
-/// in turn with the other balancers (platform::SharedReads). Reads are linearizable: what one
-/// brings was the newest when it began.
+/// Reads the configuration and the drained failure domains from the platform, taking turns with the
+/// other balancers (platform::SharedReads). Reads are linearizable: the result is at least as new
+/// as the platform's state at the start of the read.
 class OperatorReads {
  public:
-  /// `clients` and `adapter` have to outlive it.
+  /// `clients` and `adapter` have to outlive this object.
   OperatorReads(const PlatformClients& clients, const Adapter& adapter, const Settings& settings,
                 OperatorReadCallbacks callbacks);
 
-  /// The first read follows within a part of the bound; a copy of the configuration, which may be
-  /// old, is read at once. Whoever started at the same moment is told of the first read.
+  /// Schedules the first read within a fraction of the freshness bound and reads a copy of the
+  /// configuration, which may be stale, at once. Balancers that started at the same moment are told
+  /// of the first read.
   auto Begin(base::TimePoint now) -> void;
 
-  /// Reads where it is this balancer's turn and no configuration is coming from the platform.
-  /// Called at each check of stalls.
+  /// Starts a read if it is this balancer's turn and no configuration is being received. Called at
+  /// each stall check.
   auto Check(base::TimePoint now) -> void;
 
-  /// Reads the configuration alone: another balancer has a newer one. An answer confirms nothing,
-  /// and an error is followed by the next regular read. OperatorReadCallbacks::on_answer is told.
+  /// Reads only the configuration, because another balancer has a newer one. The answer does not
+  /// count as a confirmation, and after an error the next regular read follows. Calls
+  /// OperatorReadCallbacks::on_answer.
   auto FetchConfiguration(Freshness freshness) -> void;
 
-  /// Whether a configuration is coming from the platform.
+  /// Whether a configuration is being received from the platform.
   [[nodiscard]] auto IsConfigurationComing() const -> bool;
 
-  /// How many balancers tell each other of their reads, this one included.
+  /// Sets how many balancers share their reads, this one included.
   auto SetBalancers(std::size_t count, base::TimePoint now) -> void;
 
-  /// Longest wait between two calls of this balancer that are not answered, such that the calls of
-  /// all balancers together don't grow with their number.
+  /// Longest wait between two unanswered calls of this balancer. It grows with the number of
+  /// balancers, so that their total call rate does not.
   [[nodiscard]] auto TurnInOutage() const -> base::Duration;
 
-  /// There is something newer at the platform.
+  /// Brings the next read forward because the platform has a newer state.
   auto Hasten(base::TimePoint now) -> void;
 
-  /// Another balancer's read, begun at `as_of`, found nothing newer than what is known here. True
-  /// where what is known had not been confirmed for a while.
+  /// Records that another balancer's read, begun at `as_of`, found nothing newer than the state
+  /// known here. Returns true if this reduced the state's age by more than half of the policy's
+  /// fresh_for.
   auto Confirm(base::TimePoint as_of, base::TimePoint now) -> bool;
 
-  /// How long ago what is known was confirmed; nothing before the first read.
+  /// Time since the known state was last confirmed; empty before the first read.
   [[nodiscard]] auto Age(base::TimePoint now) const -> std::optional<base::Duration>;
 
   OperatorReadCounters counters;
@@ -86,8 +89,8 @@
   OperatorReadCallbacks callbacks;
   bool reads_drains = false;
   platform::SharedReads reads;
-  unsigned awaited = 0;  ///< answers of the read under way
-  bool failed = false;   ///< one of them was an error
+  unsigned awaited = 0;  ///< outstanding answers of the current read
+  bool failed = false;   ///< an answer of the current read was an error
 };
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/peer_configuration.h
+++ b/src/packetd/peer_configuration.h
@@ -17,46 +17,48 @@
 
 namespace anvildrum::packetd {
 
-/// The configuration from one process to another: each balancer serves what it has in force, some
-/// agents what they keep, and a balancer that has none yet asks the balancers that its settings
-/// name, and in the end an agent.
+/// Exchange of the configuration between processes. Each balancer serves the configuration in
+/// force, some agents serve a stored copy, and a balancer without a configuration asks the
+/// balancers that its settings name and finally an agent.
 ///
-/// Safeguard: a balancer starts while the platform is away, or turns it away and serves others. It
-/// would drop every packet until the platform is back; where it is one of few of its failure domain
-/// the fabric sends it packets although it isn't ready. What a peer has in force is no older than
-/// what this one would have gone on with, had it not been restarted.
+/// Safeguard: a balancer may start while the platform is unavailable, or while the platform rejects
+/// its calls but serves others. Without a configuration from a peer it would drop every packet
+/// until the platform answers, and where its failure domain has few balancers, the fabric sends it
+/// packets although it is not ready. The configuration of a peer is no older than the one that this
+/// balancer would have continued to use without the restart.
 class PeerConfiguration {
  public:
   using OnObject = std::function<void(const platform::Object& object)>;
 
-  /// `on_object` is called with each answer of a peer.
+  /// `on_object` is called with the object of each successful answer of a peer.
   PeerConfiguration(boost::asio::io_context& io, const Adapter& adapter, const Settings& settings,
                     OnObject on_object);
 
-  /// Begins to serve. Errors: net::NetError.
+  /// Starts to serve the configuration. Errors: net::NetError.
   auto Open() -> base::Result<void>;
 
-  /// What is answered at Path(): to other processes, wherever it is served.
+  /// The response to a GET of Path(), for any port that serves it to other processes.
   [[nodiscard]] auto Answer() -> net::OperatorResponse;
   [[nodiscard]] auto Path() const -> std::string;
 
-  /// What is served from now on.
+  /// Sets the configuration to serve.
   auto Keep(const platform::Object& object) -> void;
 
-  /// The platform's revision of what is served; 0: nothing yet.
+  /// The platform's revision of the served configuration; 0 if there is none yet.
   [[nodiscard]] auto Revision() const -> std::uint64_t;
 
-  /// Whether a configuration is coming from another process.
+  /// Whether a configuration is being received from another process.
   [[nodiscard]] auto IsConfigurationComing() const -> bool;
 
-  /// Asks the settings' balancers one after another until one has a configuration. Called again, it
-  /// goes on beside those that do not answer.
+  /// Asks the balancers of the settings one after another until one has a configuration. A further
+  /// call continues with the next balancers while earlier requests are still unanswered.
   ///
-  /// Safeguard: asked all at once, each would send a whole configuration over the same link.
+  /// Safeguard: if all were asked at once, each would send a whole configuration over the same
+  /// link.
   auto Ask() -> void;
 
-  /// Asks the process at this address, which says that it has a newer one, unless one is being
-  /// asked so. The port for such questions is the same at every instance.
+  /// Asks the process at this address, which has announced a newer configuration, unless such a
+  /// request is pending. The port for these requests is the same at every instance.
   auto AskFor(packets::Address newer) -> void;
 
   auto SetSeeds(const std::vector<base::Endpoint>& seeds) -> void;
@@ -65,7 +67,7 @@
   struct Peer {
     base::Endpoint endpoint;
     std::unique_ptr<platform::Client> client;
-    bool asked = false;  ///< an answer is awaited
+    bool asked = false;  ///< a request is pending
   };
 
   auto AskNext() -> void;
@@ -76,11 +78,11 @@
   base::Endpoint own;
   OnObject on_object;
   std::optional<platform::Object> kept;
-  std::string encoded;  ///< of it; empty until somebody asks
+  std::string encoded;  ///< encoding of `kept`; empty until it is requested
   std::vector<std::unique_ptr<Peer>> peers;
-  std::size_t next_peer;        ///< as a count that begins anywhere, so that starts are spread
-  std::size_t left_to_ask = 0;  ///< peers, until Ask is called again
-  std::unique_ptr<Peer> newer;  ///< the last one that said so
+  std::size_t next_peer;        ///< modulo their number; starts at random to spread the load
+  std::size_t left_to_ask = 0;  ///< peers still to be asked for the last call of Ask
+  std::unique_ptr<Peer> newer;  ///< the last process that announced a newer configuration
   std::unique_ptr<net::OperatorPort> port;
 };
 
--- a/src/packetd/record.h
+++ b/src/packetd/record.h
@@ -9,13 +9,14 @@
 
 namespace anvildrum::packetd {
 
-/// An agent's record at the platform: enough to say hello to it; all else it tells itself.
+/// An agent's record at the platform. It holds what a balancer needs to send the agent a hello; the
+/// agent reports everything else itself.
 struct Record {
   packets::Address agent = 0;
   std::string service;
 };
 
-/// The name of an agent's record under the members' prefix: "10-1-0-12".
+/// The name of an agent's record below the prefix of the members, as in "10-1-0-12".
 auto RecordName(packets::Address agent) -> std::string;
 
 auto EncodeRecord(const Record& record) -> std::string;
--- a/src/packetd/registrar.h
+++ b/src/packetd/registrar.h
@@ -12,12 +12,12 @@
 
 struct RegistrarCore;
 
-/// Keeps one object at the platform as it should be: there with a value, or absent. Calls that fail
-/// are repeated with backoff until the platform answers; a creation that took effect without an
-/// answer is found by the conflict that its repetition meets.
+/// Maintains one object at the platform: present with a given value, or absent. Failed calls are
+/// retried with backoff until the platform answers. If a creation took effect but its answer was
+/// lost, the retry fails with a conflict, and the object is read.
 class Registrar {
  public:
-  /// `seed` is of the backoff's jitter and has to differ between instances.
+  /// `seed` seeds the backoff's jitter and has to differ between instances.
   Registrar(boost::asio::io_context& io, const PlatformClients& clients, std::string key,
             std::uint64_t seed);
   ~Registrar();
@@ -27,17 +27,18 @@
   auto Keep(std::string value) -> void;
   auto Remove() -> void;
 
-  /// An earlier process has probably written the object: it is looked for before it is created.
+  /// States that an earlier process has probably written the object, so that it is read before a
+  /// creation is tried.
   auto ExpectObject() -> void;
 
-  /// Whether the platform answers others. Where it doesn't, calls wait until it does, ten seconds
-  /// at most.
+  /// Sets whether the platform answers other instances. While it does not, calls wait for it, ten
+  /// seconds at most.
   ///
-  /// Safeguard: calls of agents that start in an outage would grow with their number and its
-  /// length.
+  /// Safeguard: otherwise the calls of agents that start in an outage would grow with the number of
+  /// agents and the length of the outage.
   auto SetPlatformAnswers(bool answers) -> void;
 
-  /// Whether the platform has confirmed what was asked last.
+  /// Whether the platform has confirmed the last requested state.
   [[nodiscard]] auto IsSettled() const -> bool;
 
  private:
--- a/src/packetd/run.h
+++ b/src/packetd/run.h
@@ -6,7 +6,8 @@
 
 namespace anvildrum::packetd {
 
-/// Runs a balancer or an agent, as the settings say, until SIGTERM. The process's exit code.
+/// Runs a balancer or an agent, as the settings say, until SIGTERM. Returns the exit code of the
+/// process.
 auto Run(const std::filesystem::path& settings_file, const Adapter& adapter) -> int;
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/settings.h
+++ b/src/packetd/settings.h
@@ -10,10 +10,10 @@
 
 namespace anvildrum::packetd {
 
-/// Settings, or at least one error.
+/// The settings, or at least one error.
 using SettingsOrErrors = std::variant<Settings, std::vector<json::ReadError>>;
 
-/// Reads and checks a file: JSON with comments, every fault reported.
+/// Reads and validates a file of JSON with comments. Reports every error, not only the first one.
 auto LoadSettings(const std::filesystem::path& path) -> SettingsOrErrors;
 
 auto ParseSettings(std::string_view text) -> SettingsOrErrors;
--- a/src/packetd/target_watch.h
+++ b/src/packetd/target_watch.h
@@ -11,30 +11,31 @@
 
 namespace anvildrum::packetd {
 
-/// Whether a target's process is there, by a connection to its port that is kept open and on which
-/// nothing is sent. Where the process ends, its system closes the connection, and the next attempt
-/// is refused. A target that hangs, or takes no connections for now, is not refused.
+/// Detects the end of a target's process by a TCP connection to its port, which is kept open and on
+/// which nothing is sent. When the process ends, the operating system closes the connection and
+/// refuses the next attempt. A target that hangs or does not accept connections for a while causes
+/// no refusal.
 ///
-/// Safeguard: a target that ends without a word is missed after two heartbeats and a half. Its
-/// clients' openings and lost flows wait for as long; and after a loss of power an agent whose
-/// target does not come back could not say so for two seconds, in which no lost flow of the service
-/// was reset.
+/// Safeguard: without this watch, a target that ends without sending a leave is detected only after
+/// two and a half heartbeat periods, and the openings of its clients and its lost flows wait for as
+/// long. After a power loss, an agent whose target does not restart could not report that for two
+/// seconds, during which no lost flow of the service was reset.
 class TargetWatch {
  public:
-  /// Called each time that the target's port refuses a connection, with when the attempt began.
+  /// Called each time the target's port refuses a connection, with the start of the attempt.
   using OnRefused = std::function<void(base::TimePoint began)>;
 
   /// `target`: IPv4.
   TargetWatch(boost::asio::io_context& io, const base::Endpoint& target, OnRefused on_refused);
 
-  /// Begins after a moment, in which a target that starts together with this process opens its
-  /// port.
+  /// Connects after a delay, so that a target that starts together with this process can open its
+  /// port first.
   auto Start() -> void;
 
-  /// The target has been heard of: connects, unless there is a connection.
+  /// Handles a sign of life from the target: connects, unless a connection exists or is pending.
   auto OnTargetAlive() -> void;
 
-  /// Another target stands beside this process from now on.
+  /// Replaces the watched target.
   auto SetTarget(const base::Endpoint& changed) -> void;
 
  private:
@@ -47,7 +48,7 @@
   boost::asio::ip::tcp::socket socket;
   boost::asio::steady_timer timer;
   std::array<char, 64> ignored{};
-  bool busy = false;  ///< connected, connecting, or about to
+  bool busy = false;  ///< connected, connecting, or waiting to connect
 };
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/tests/held_packets_test.cc
+++ b/src/packetd/tests/held_packets_test.cc
@@ -10,7 +10,8 @@
 
 auto FlowOf(std::uint16_t port) -> packets::FlowId { return {{0x0a020003, port}, kService}; }
 
-// A client that repeats itself while its flow is searched would fill the room of all others.
+// Without a limit per flow, a client that retransmits during the search for its flow would use up
+// the space of all other flows.
 BOOST_AUTO_TEST_CASE(the_last_packets_of_a_flow_are_kept) {
   auto held = HeldPackets{};
   for (auto i = std::size_t{0}; i <= HeldPackets::kMaxPacketsPerFlow; ++i) {
@@ -22,8 +23,8 @@
   BOOST_TEST(kept.back().front() == HeldPackets::kMaxPacketsPerFlow);
 }
 
-// All flows of a lost failure domain are searched at once: what they hold may not take the memory
-// of the smallest balancer, and there is room again once flows are found.
+// After the loss of a failure domain all its flows are searched at once. The held packets must not
+// exhaust the memory of the smallest balancer, and found flows free their space.
 BOOST_AUTO_TEST_CASE(no_more_is_kept_than_there_is_room_for) {
   constexpr auto large = HeldPackets::kMaxBytes / 8;
   auto held = HeldPackets{};
--- a/src/packetd/tests/machine_probes_test.cc
+++ b/src/packetd/tests/machine_probes_test.cc
@@ -13,10 +13,10 @@
 using asio::ip::tcp;
 
 constexpr auto kMachine = packets::Address{0x7f000001};
-// More than the system keeps for a listener with the least backlog that nobody accepts from.
+// More connections than the operating system queues for a listener with the smallest backlog.
 constexpr auto kQueueFillers = 8;
 
-/// A probe's end.
+/// The result of a probe.
 struct ProbeResult {
   packets::Address machine = 0;
   bool answered = false;
@@ -57,7 +57,7 @@
   BOOST_TEST(refused->answered);
 }
 
-// A machine that is off drops what comes, as a listener whose queue is full does.
+// A listener with a full queue drops connection attempts, as a machine that is off does.
 BOOST_AUTO_TEST_CASE(a_machine_that_drops_connections_has_not_answered) {
   auto io = asio::io_context{1};
   auto acceptor = ListenOn(io);
@@ -71,8 +71,8 @@
   BOOST_TEST(!ended->answered);
 }
 
-// A failure domain of many machines falls silent: each probe takes a socket, and a process has so
-// many. The others follow as probes end.
+// If a failure domain of many machines falls silent, the probes must not use up the sockets of the
+// process. Further probes start as others end.
 BOOST_AUTO_TEST_CASE(no_more_probes_are_begun_than_there_is_room_for) {
   auto io = asio::io_context{1};
   auto acceptor = ListenOn(io);
--- a/src/packetd/tests/settings_test.cc
+++ b/src/packetd/tests/settings_test.cc
@@ -36,7 +36,7 @@
   BOOST_TEST(!settings->agent);
 }
 
-// Where operators drain no failure domains nobody reads for them.
+// Without this setting, balancers do not read drained failure domains.
 BOOST_AUTO_TEST_CASE(the_time_to_drain_a_domain_is_read_where_it_is_told) {
   const auto parsed =
       ParseSettings(R"({"role": "balancer", "drains_within_seconds": 5000e-3,)" + kCommon + "}");
@@ -67,7 +67,8 @@
   BOOST_TEST(Faults("not json").size() == 1U);
 }
 
-// Each seed is asked in turn by whoever starts without the platform.
+// A balancer that starts without the platform asks the seeds one after another, so their number is
+// limited.
 BOOST_AUTO_TEST_CASE(more_seeds_than_can_be_asked_are_refused) {
   const auto with_seeds = [](int count) {
     auto seeds = std::string{};
--- a/src/packetd/types/platform_clients.h
+++ b/src/packetd/types/platform_clients.h
@@ -4,10 +4,10 @@
 
 namespace anvildrum::packetd {
 
-/// A process's two ways to the platform's state.
+/// The two clients through which a process reads the platform's state.
 struct PlatformClients {
   platform::Client& newest;
-  platform::Client& may_be_stale;  ///< cheaper, of a copy that may be seconds behind
+  platform::Client& may_be_stale;  ///< cheaper; a copy that may be seconds old answers
 };
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/types/settings.h
+++ b/src/packetd/types/settings.h
@@ -12,13 +12,14 @@
 
 enum class Role : std::uint8_t { kBalancer, kAgent };
 
-/// Settings of an agent only.
+/// Settings that only an agent has.
 struct AgentSettings {
-  base::Endpoint from_target;  ///< where the target sends its packets to
-  base::Endpoint target;       ///< where it takes packets
+  base::Endpoint from_target;  ///< local UDP endpoint to which the target sends
+  base::Endpoint target;       ///< endpoint at which the target receives packets
   std::string service;
-  base::Duration heartbeat_period = base::milliseconds{750};  ///< of the target, about
-  base::Duration address_reused_after = base::seconds{2};  ///< at the earliest, by another service
+  base::Duration heartbeat_period = base::milliseconds{750};  ///< approximate period of the target
+  /// Shortest time after which the target's address may serve another service.
+  base::Duration address_reused_after = base::seconds{2};
   auto operator==(const AgentSettings&) const -> bool = default;
 };
 
@@ -29,15 +30,15 @@
   std::string failure_domain;
   base::Endpoint packets;             ///< UDP: from clients at a balancer, from peers at an agent
   base::Endpoint readiness;           ///< HTTP: probes of the fabric
-  base::Endpoint heartbeats;          ///< HTTP: the target's, at an agent
-  std::uint16_t control_port = 0;     ///< UDP: the same at every instance
-  std::vector<base::Endpoint> seeds;  ///< some balancers, perhaps gone; their ports are not used
+  base::Endpoint heartbeats;          ///< HTTP: configuration for peers, heartbeats of the target
+  std::uint16_t control_port = 0;     ///< UDP; the same port at every instance
+  std::vector<base::Endpoint> seeds;  ///< some balancers, which may no longer exist
   base::Endpoint platform;
   std::optional<base::Endpoint> metrics;    ///< HTTP: counters and latencies for operators
   base::Duration grace = base::seconds{6};  ///< from SIGTERM to SIGKILL
-  base::Duration configuration_within = base::seconds{3};  ///< from acceptance to being in force
-  /// From an operator's draining a failure domain to the last opening there; nothing where
-  /// operators drain none.
+  base::Duration configuration_within = base::seconds{3};  ///< from acceptance to taking effect
+  /// Time from the drain of a failure domain to its last new flow; empty where operators do not
+  /// drain failure domains.
   std::optional<base::Duration> drains_within;
   std::optional<AgentSettings> agent;
   auto operator==(const Settings&) const -> bool = default;
