--- a/src/packetd/agent_node.h
+++ b/src/packetd/agent_node.h
@@ -85,10 +85,10 @@
   std::uint64_t malformed = 0;
   packets::TargetState told_state = packets::TargetState::kUnknown;  ///< last pushed state
   TargetWatch target_watch;
-  PeerConfiguration configuration;  ///< copy for balancers that find no other
-  base::TimePoint asked_at{};       ///< last request for a newer configuration
-  base::TimePoint reminded_at{};    ///< last reports to silent balancers
-  packets::AgentCounters logged;    ///< counters as of the last traffic log line
+  PeerConfiguration configuration;         ///< copy for balancers that find no other
+  base::TimePoint asked_at{};              ///< last request for a newer configuration
+  base::TimePoint reminded_at{};           ///< last reports to silent balancers
+  packets::AgentCounters logged_counters;  ///< counters as of the last traffic log line
   std::unique_ptr<net::UdpPort> packet_port;
   std::unique_ptr<net::UdpPort> target_port;
   std::unique_ptr<net::UdpPort> control_port;
--- a/src/packetd/balancer_node.h
+++ b/src/packetd/balancer_node.h
@@ -110,9 +110,9 @@
   PeerConfiguration peers;
   OperatorReads reads;
   MachineProbes probes;
-  std::optional<packets::NewerConfiguration> newer;
-  packets::KeptConfigurations kept;
-  base::MarkClock marks;
+  std::optional<packets::NewerConfiguration> newer_configuration;
+  packets::KeptConfigurations kept_configurations;
+  base::MarkClock mark_clock;
   std::map<packets::Address, KnownBalancer> balancers;           ///< senders of recent hellos
   packets::Address last_holder = 0;                              ///< last named holder
   packets::HearsayTurn hearsay;                                  ///< rotation of reported agents
@@ -124,8 +124,8 @@
   base::TimePoint started_at{};  ///< start of the process
   bool stopping = false;
   std::uint64_t malformed = 0;
-  std::uint64_t unreadable = 0;      ///< records, drains and configurations that could not be used
-  packets::BalancerCounters logged;  ///< counters as of the last traffic log line
+  std::uint64_t unreadable = 0;  ///< records, drains and configurations that could not be used
+  packets::BalancerCounters logged_counters;  ///< counters as of the last traffic log line
   std::unique_ptr<net::UdpPort> packet_port;
   std::unique_ptr<net::UdpPort> control_port;
   std::unique_ptr<net::OperatorPort> readiness_port;
--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -29,11 +29,11 @@
 // Longest part of a path in a log line, in characters; the sender chooses the path's length.
 constexpr auto kLoggedPath = std::size_t{80};
 
-auto Json(unsigned status) -> net::OperatorResponse {
+auto JsonReply(unsigned status) -> net::OperatorResponse {
   return {.status = status, .content_type = "application/json", .body = "{}"};
 }
 
-auto Plain(unsigned status) -> net::OperatorResponse {
+auto PlainReply(unsigned status) -> net::OperatorResponse {
   auto response = net::OperatorResponse{};
   response.status = status;
   return response;
@@ -193,7 +193,7 @@
   if (!readiness) return readiness.error();
   this->readiness_port = std::move(readiness.value());
   this->readiness_port->Route("GET", std::string(this->adapter.readiness_path),
-                              [](const net::OperatorRequest&) { return Plain(kOk); });
+                              [](const net::OperatorRequest&) { return PlainReply(kOk); });
   auto heartbeats = net::OperatorPort::Open(this->io, {.local = this->settings.heartbeats});
   if (!heartbeats) return heartbeats.error();
   this->heartbeat_port = std::move(heartbeats.value());
@@ -328,7 +328,7 @@
   if (!heartbeat) {
     ++this->malformed;
     this->LogInvalidInput("heartbeat_unreadable", request.path);
-    return Json(kBadRequest);
+    return JsonReply(kBadRequest);
   }
   auto outcome = packets::TakeHeartbeat(this->core, *heartbeat, base::Now());
   if (outcome == packets::HeartbeatOutcome::kOtherService) {
@@ -339,10 +339,10 @@
   // it is acknowledged.
   if (outcome == packets::HeartbeatOutcome::kStale) {
     this->LogInvalidInput("heartbeat_not_believed", request.path);
-    return Json(kConflict);
+    return JsonReply(kConflict);
   }
   this->target_watch.OnTargetAlive();
-  if (outcome != packets::HeartbeatOutcome::kChanged || this->core.stopping) return Json(kOk);
+  if (outcome != packets::HeartbeatOutcome::kChanged || this->core.stopping) return JsonReply(kOk);
   this->told_state = packets::StateOf(this->core, base::Now());
   Log(LogLevel::kInfo, "target_state",
       {{"target", heartbeat->incarnation.id},
@@ -353,17 +353,17 @@
   this->AnnounceToSeeds();
   if (heartbeat->sequence > kMaxStartupHeartbeats) this->registrar.ExpectObject();
   this->registrar.Keep(EncodeRecord({this->core.own, this->settings.agent->service}));
-  return Json(kOk);
+  return JsonReply(kOk);
 }
 
 auto AgentNode::OnLeave(const net::OperatorRequest& request) -> net::OperatorResponse {
   const auto id = this->adapter.target_id(this->TargetIdOf(request.path));
-  if (!packets::TakeLeave(this->core, id, base::Now())) return Json(kOk);
+  if (!packets::TakeLeave(this->core, id, base::Now())) return JsonReply(kOk);
   const auto doubtful = this->core.target.leave_doubtful;
   Log(LogLevel::kInfo, "target_left", {{"target", id}, {"doubtful", doubtful}});
   this->ReportToAll();
   if (!doubtful) this->registrar.Remove();
-  return Json(kOk);
+  return JsonReply(kOk);
 }
 
 auto AgentNode::SendControl(packets::Address balancer, const packets::Control& control) -> void {
@@ -421,21 +421,22 @@
 
 auto AgentNode::LogTraffic() -> void {
   const auto& counters = this->core.counters;
-  if (counters.delivered == this->logged.delivered && counters.refused == this->logged.refused) {
+  if (counters.delivered == this->logged_counters.delivered &&
+      counters.refused == this->logged_counters.refused) {
     return;
   }
   const auto work = packets::SummarizeWork(this->core);
   Log(LogLevel::kInfo, "traffic",
-      {{"delivered", counters.delivered - this->logged.delivered},
-       {"replies", counters.replies - this->logged.replies},
-       {"returned", counters.returned - this->logged.returned},
-       {"passed_on", counters.passed_on - this->logged.passed_on},
-       {"over_limit", counters.over_limit - this->logged.over_limit},
-       {"wrong_service", counters.wrong_service - this->logged.wrong_service},
-       {"none_left", counters.none_left - this->logged.none_left},
-       {"given_back", counters.given_back - this->logged.given_back},
-       {"queried", counters.queried - this->logged.queried},
-       {"refused", counters.refused - this->logged.refused},
+      {{"delivered", counters.delivered - this->logged_counters.delivered},
+       {"replies", counters.replies - this->logged_counters.replies},
+       {"returned", counters.returned - this->logged_counters.returned},
+       {"passed_on", counters.passed_on - this->logged_counters.passed_on},
+       {"over_limit", counters.over_limit - this->logged_counters.over_limit},
+       {"wrong_service", counters.wrong_service - this->logged_counters.wrong_service},
+       {"none_left", counters.none_left - this->logged_counters.none_left},
+       {"given_back", counters.given_back - this->logged_counters.given_back},
+       {"queried", counters.queried - this->logged_counters.queried},
+       {"refused", counters.refused - this->logged_counters.refused},
        {"flows", this->core.flows.size()},
        {"at_work", this->core.at_work},
        {"work_offered", work.offered},
@@ -444,7 +445,7 @@
        {"work_repeated", work.repeated},
        {"work_quiet", this->core.quiet_work},
        {"peers", this->core.peers.size()}});
-  this->logged = counters;
+  this->logged_counters = counters;
 }
 
 // Removes the record after a doubtful leave once the target has stayed silent, which shows that the
--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -64,8 +64,8 @@
 
 auto BalancerNode::Start() -> base::Result<void> {
   this->started_at = base::Now();
-  this->marks = {.origin = static_cast<std::uint32_t>(StartSeed(this->settings)),
-                 .started = this->started_at};
+  this->mark_clock = {.origin = static_cast<std::uint32_t>(StartSeed(this->settings)),
+                      .started = this->started_at};
   packets::NoteEvent(this->core.stall, this->started_at);
   auto opened = this->OpenPorts();
   if (!opened) return opened.error();
@@ -337,7 +337,7 @@
   hello.drained = this->core.view.drained;
   hello.confirmed_ago = this->reads.Age(now);
   hello.out_of_reach = packets::OutOfReach(this->core.view, this->core.stall.running_since, now);
-  hello.mark = base::MarkAt(this->marks, now);
+  hello.mark = base::MarkAt(this->mark_clock, now);
   hello.balancers = static_cast<std::uint32_t>(this->balancers.size() + 1);
   auto parts = packets::InFrames(hello);
   for (const auto balancer : to) {
@@ -408,26 +408,27 @@
 
 auto BalancerNode::LogTraffic() -> void {
   const auto& counters = this->core.counters;
-  if (counters.openings == this->logged.openings && counters.forwarded == this->logged.forwarded) {
+  if (counters.openings == this->logged_counters.openings &&
+      counters.forwarded == this->logged_counters.forwarded) {
     return;
   }
   Log(LogLevel::kInfo, "traffic",
-      {{"openings", counters.openings - this->logged.openings},
-       {"copies", counters.copies - this->logged.copies},
-       {"forwarded", counters.forwarded - this->logged.forwarded},
-       {"searched", counters.unhinted - this->logged.unhinted},
-       {"no_route", counters.no_route - this->logged.no_route},
-       {"no_target", counters.no_target - this->logged.no_target},
-       {"refused", counters.refused - this->logged.refused},
-       {"suspicions", counters.suspicions - this->logged.suspicions},
-       {"queries", counters.queries - this->logged.queries},
-       {"found", counters.found - this->logged.found},
-       {"not_found", counters.not_found - this->logged.not_found},
-       {"resets", counters.resets - this->logged.resets},
+      {{"openings", counters.openings - this->logged_counters.openings},
+       {"copies", counters.copies - this->logged_counters.copies},
+       {"forwarded", counters.forwarded - this->logged_counters.forwarded},
+       {"searched", counters.unhinted - this->logged_counters.unhinted},
+       {"no_route", counters.no_route - this->logged_counters.no_route},
+       {"no_target", counters.no_target - this->logged_counters.no_target},
+       {"refused", counters.refused - this->logged_counters.refused},
+       {"suspicions", counters.suspicions - this->logged_counters.suspicions},
+       {"queries", counters.queries - this->logged_counters.queries},
+       {"found", counters.found - this->logged_counters.found},
+       {"not_found", counters.not_found - this->logged_counters.not_found},
+       {"resets", counters.resets - this->logged_counters.resets},
        {"flows", this->core.hints.size()},
        {"agents", this->core.view.members.size()},
        {"away", FormatAddress(this->FirstAway())}});
-  this->logged = counters;
+  this->logged_counters = counters;
 }
 
 // Returns an agent whose absence prevents the reset of lost flows; 0 if there is none.
--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -113,9 +113,11 @@
 // balancer; a newer one replaces it as soon as the platform answers.
 auto BalancerNode::AskAgent(const packets::TargetReport& report, base::TimePoint now) -> void {
   if (this->reads.Age(now)) return;
-  const auto ask = packets::TakeKept(this->kept, report.revision, now - this->started_at);
+  const auto ask =
+      packets::TakeKept(this->kept_configurations, report.revision, now - this->started_at);
   if (this->core.routes) {
-    packets::NoteNewer(this->newer, report.agent, report.revision, this->peers.Revision());
+    packets::NoteNewer(this->newer_configuration, report.agent, report.revision,
+                       this->peers.Revision());
   } else if (ask && !this->IsConfigurationComing()) {
     this->peers.AskFor(report.agent);
   }
@@ -128,7 +130,7 @@
   const auto same = hello.revision == this->peers.Revision() &&
                     hello.drained.domains == this->core.view.drained.domains;
   if (!hello.confirmed_ago || !hello.echo || !same) return false;
-  const auto sent = base::SentNotBefore(this->marks, *hello.echo, now);
+  const auto sent = base::SentNotBefore(this->mark_clock, *hello.echo, now);
   return sent && this->reads.Confirm(*sent - *hello.confirmed_ago, now);
 }
 
@@ -159,7 +161,8 @@
 auto BalancerNode::NoteNewer(packets::Address from, const packets::Hello& hello,
                              base::TimePoint now) -> void {
   const auto holder = hello.holder != 0 && hello.holder != this->core.own ? hello.holder : from;
-  if (packets::NoteNewer(this->newer, holder, hello.revision, this->peers.Revision())) {
+  if (packets::NoteNewer(this->newer_configuration, holder, hello.revision,
+                         this->peers.Revision())) {
     this->AskForNewer(now);
   }
 }
@@ -179,7 +182,7 @@
                         .turned_away = this->platform_lost_at.has_value(),
                         .answer_coming = this->IsConfigurationComing(),
                         .every = this->settings.configuration_within / kAskForNewerDivisor};
-  const auto source = packets::NextAsk(this->newer, basis, now);
+  const auto source = packets::NextAsk(this->newer_configuration, basis, now);
   if (!source) return;
   switch (*source) {
     case packets::ConfigurationSource::kCopy:
@@ -187,7 +190,7 @@
     case packets::ConfigurationSource::kPlatform:
       return this->reads.FetchConfiguration(Freshness::kNewest);
     case packets::ConfigurationSource::kBalancer:
-      return this->peers.AskFor(this->newer->holder);
+      return this->peers.AskFor(this->newer_configuration->holder);
   }
 }
 
--- a/src/packetd/internal/operator_reads.cc
+++ b/src/packetd/internal/operator_reads.cc
@@ -68,7 +68,7 @@
   platform::BeginRead(this->reads, now);
   ++this->counters.reads;
   this->failed = false;
-  this->awaited = this->reads_drains ? 2 : 1;
+  this->pending_answers = this->reads_drains ? 2 : 1;
   if (this->reads_drains) {
     this->clients.newest.List(this->adapter.drains_prefix,
                               [this](const platform::Outcome<platform::Listing>& outcome) {
@@ -120,7 +120,7 @@
   if (IsAbsence(error)) error = nullptr;
   this->callbacks.on_answer(error);
   if (error != nullptr) this->failed = true;
-  if (--this->awaited != 0) return;
+  if (--this->pending_answers != 0) return;
   const auto now = base::Now();
   if (this->failed) {
     ++this->counters.failed;
--- a/src/packetd/internal/peer_configuration.cc
+++ b/src/packetd/internal/peer_configuration.cc
@@ -26,14 +26,14 @@
                                      const Settings& settings, OnObject on_object)
     : io(io),
       adapter(adapter),
-      own(settings.heartbeats),
+      own_endpoint(settings.heartbeats),
       on_object(std::move(on_object)),
       next_peer(StartSeed(settings)) {
   this->SetSeeds(settings.seeds);
 }
 
 auto PeerConfiguration::Open() -> base::Result<void> {
-  auto opened = net::OperatorPort::Open(this->io, {.local = this->own});
+  auto opened = net::OperatorPort::Open(this->io, {.local = this->own_endpoint});
   if (!opened) return opened.error();
   this->port = std::move(opened.value());
   this->port->Route("GET", this->Path(),
@@ -65,16 +65,16 @@
 }
 
 auto PeerConfiguration::AskFor(packets::Address address) -> void {
-  if (this->newer && this->newer->asked) return;
-  this->newer = std::make_unique<Peer>();
-  this->newer->endpoint = base::EndpointFromV4(address, this->own.port);
-  this->AskOne(*this->newer, [] {});
+  if (this->newer_peer && this->newer_peer->asked) return;
+  this->newer_peer = std::make_unique<Peer>();
+  this->newer_peer->endpoint = base::EndpointFromV4(address, this->own_endpoint.port);
+  this->AskOne(*this->newer_peer, [] {});
 }
 
 auto PeerConfiguration::SetSeeds(const std::vector<base::Endpoint>& seeds) -> void {
   this->peers.clear();
   for (const auto& seed : seeds) {
-    if (seed == this->own) continue;
+    if (seed == this->own_endpoint) continue;
     auto peer = std::make_unique<Peer>();
     peer->endpoint = seed;
     this->peers.push_back(std::move(peer));
@@ -85,7 +85,8 @@
   const auto is_coming = [](const std::unique_ptr<Peer>& peer) {
     return peer != nullptr && peer->client != nullptr && peer->client->IsReceivingObject();
   };
-  return is_coming(this->newer) || std::any_of(this->peers.begin(), this->peers.end(), is_coming);
+  return is_coming(this->newer_peer) ||
+         std::any_of(this->peers.begin(), this->peers.end(), is_coming);
 }
 
 auto PeerConfiguration::Ask() -> void {
--- a/src/packetd/internal/registrar.cc
+++ b/src/packetd/internal/registrar.cc
@@ -68,8 +68,8 @@
   bool revision_known = false;   ///< `revision` is the platform's last answer
   bool object_expected = false;  ///< the object probably exists
   bool fetches_copy = true;      ///< for the next fetch; once only, as a copy may be stale
-  bool answers = true;           ///< whether the platform answers other instances
-  bool held = false;             ///< the timer waits until the platform answers
+  bool platform_answers = true;  ///< whether the platform answers other instances
+  bool awaits_platform = false;  ///< the timer waits until the platform answers
   bool running = false;
   bool settled = true;
   bool stopped = false;
@@ -79,8 +79,8 @@
   this->settled = false;
   if (this->running || this->stopped) return;
   this->running = true;
-  if (!this->answers) {
-    this->held = true;
+  if (!this->platform_answers) {
+    this->awaits_platform = true;
     return this->RunAfter(kMaxOutageWait);
   }
   this->sent = this->wanted;
@@ -165,15 +165,15 @@
     if (error || !self || self->stopped) return;
     self->running = false;
     // The balancer that reported the platform as silent may no longer exist.
-    if (std::exchange(self->held, false)) self->answers = true;
+    if (std::exchange(self->awaits_platform, false)) self->platform_answers = true;
     self->Run();
   });
 }
 
 auto RegistrarCore::SetAnswers(bool platform_answers) -> void {
-  this->answers = platform_answers;
-  if (!this->answers || !this->held) return;
-  this->held = false;
+  this->platform_answers = platform_answers;
+  if (!this->platform_answers || !this->awaits_platform) return;
+  this->awaits_platform = false;
   this->RunAfter(platform::Jitter(this->backoff, kResumeSpread));
 }
 
--- a/src/packetd/operator_reads.h
+++ b/src/packetd/operator_reads.h
@@ -89,8 +89,8 @@
   OperatorReadCallbacks callbacks;
   bool reads_drains = false;
   platform::SharedReads reads;
-  unsigned awaited = 0;  ///< outstanding answers of the current read
-  bool failed = false;   ///< an answer of the current read was an error
+  unsigned pending_answers = 0;  ///< outstanding answers of the current read
+  bool failed = false;           ///< an answer of the current read was an error
 };
 
 }  // namespace anvildrum::packetd
--- a/src/packetd/peer_configuration.h
+++ b/src/packetd/peer_configuration.h
@@ -75,14 +75,14 @@
 
   boost::asio::io_context& io;
   const Adapter& adapter;
-  base::Endpoint own;
+  base::Endpoint own_endpoint;
   OnObject on_object;
   std::optional<platform::Object> kept;
   std::string encoded;  ///< encoding of `kept`; empty until it is requested
   std::vector<std::unique_ptr<Peer>> peers;
-  std::size_t next_peer;        ///< modulo their number; starts at random to spread the load
-  std::size_t left_to_ask = 0;  ///< peers still to be asked for the last call of Ask
-  std::unique_ptr<Peer> newer;  ///< the last process that announced a newer configuration
+  std::size_t next_peer;             ///< modulo their number; starts at random to spread the load
+  std::size_t left_to_ask = 0;       ///< peers still to be asked for the last call of Ask
+  std::unique_ptr<Peer> newer_peer;  ///< the last process that announced a newer configuration
   std::unique_ptr<net::OperatorPort> port;
 };
 
