--- a/src/packetd/internal/registrar.cc
+++ b/src/packetd/internal/registrar.cc
@@ -62,14 +62,14 @@
   std::string key;
   boost::asio::steady_timer timer;
   platform::Backoff backoff;
-  std::string wanted;            ///< requested value; empty: absent
-  std::string sent;              ///< value that the pending call writes
-  std::uint64_t revision = 0;    ///< last known one of the object; 0: absent or unknown
-  bool revision_known = false;   ///< `revision` is the platform's last answer
-  bool object_expected = false;  ///< the object probably exists
-  bool fetches_copy = true;      ///< for the next fetch; once only, as a copy may be stale
-  bool platform_answers = true;  ///< whether the platform answers other instances
-  bool awaits_platform = false;  ///< the timer waits until the platform answers
+  std::string wanted;              ///< requested value; empty: absent
+  std::string sent;                ///< value that the pending call writes
+  std::uint64_t revision = 0;      ///< last known one of the object; 0: absent or unknown
+  bool revision_known = false;     ///< `revision` is the platform's last answer
+  bool object_expected = false;    ///< the object probably exists
+  bool fetches_copy = true;        ///< for the next fetch; once only, as a copy may be stale
+  bool platform_available = true;  ///< whether the platform answers other instances
+  bool awaits_platform = false;    ///< the timer waits until the platform answers
   bool running = false;
   bool settled = true;
   bool stopped = false;
@@ -79,7 +79,7 @@
   this->settled = false;
   if (this->running || this->stopped) return;
   this->running = true;
-  if (!this->platform_answers) {
+  if (!this->platform_available) {
     this->awaits_platform = true;
     return this->RunAfter(kMaxOutageWait);
   }
@@ -165,14 +165,14 @@
     if (error || !self || self->stopped) return;
     self->running = false;
     // The balancer that reported the platform as silent may no longer exist.
-    if (std::exchange(self->awaits_platform, false)) self->platform_answers = true;
+    if (std::exchange(self->awaits_platform, false)) self->platform_available = true;
     self->Run();
   });
 }
 
 auto RegistrarCore::SetAnswers(bool platform_answers) -> void {
-  this->platform_answers = platform_answers;
-  if (!this->platform_answers || !this->awaits_platform) return;
+  this->platform_available = platform_answers;
+  if (!this->platform_available || !this->awaits_platform) return;
   this->awaits_platform = false;
   this->RunAfter(platform::Jitter(this->backoff, kResumeSpread));
 }
