--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -21,7 +21,7 @@
 // one watch in this time.
 constexpr auto kSeedPause = base::milliseconds{250};
 
-// Duration of a seed's watch call at the platform. A watch only reports earlier what the next read
+// Longest duration of a seed's watch call. A watch only reports earlier what the next read
 // would find.
 constexpr auto kSeedHold = base::seconds{25};
 
