--- a/src/packetd/agent_node.h
+++ b/src/packetd/agent_node.h
@@ -22,37 +22,37 @@
 
 namespace anvildrum::packetd {
 
-/// The agent as a process: sockets, timers and the platform round packets::Agent.
+/// The agent process: connects packets::Agent to sockets, timers and the platform.
 class AgentNode {
  public:
-  /// `reload` reads the settings file again: the target beside the agent says that it is of another
-  /// service than they say.
+  /// `reload` has to read the settings file again. It is called when the target reports a service
+  /// other than the one in the settings.
   AgentNode(boost::asio::io_context& io, const Adapter& adapter, const Settings& settings,
             std::function<void()> reload);
 
-  /// Binds all sockets and begins. Errors: net::NetError.
+  /// Binds all sockets and starts to serve. Errors: net::NetError.
   auto Start() -> base::Result<void>;
 
-  /// New settings: seeds, and the target's service and address, are taken up.
+  /// Applies changed seeds and the target's changed service and address.
   auto Reload(const Settings& settings) -> void;
 
-  /// Openings go elsewhere from now on. How long to go on so.
+  /// Directs openings to other agents. Returns how long the process has to continue to run.
   auto Stop() -> base::Duration;
 
  private:
   auto OpenPorts() -> base::Result<void>;
   auto OpenHeartbeats() -> base::Result<void>;
-  auto OnPeer(std::span<const std::uint8_t> datagram) -> void;
-  auto OnTarget(std::span<const std::uint8_t> datagram) -> void;
-  auto Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-             const packets::AgentVerdict& verdict) -> void;
+  auto OnPeerPacket(std::span<const std::uint8_t> datagram) -> void;
+  auto OnTargetPacket(std::span<const std::uint8_t> datagram) -> void;
+  auto ApplyVerdict(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
+                    const packets::AgentVerdict& verdict) -> void;
   auto Refuse(const packets::Packet& packet) -> void;
   auto OnControl(const base::Endpoint& from, std::span<const std::uint8_t> datagram) -> void;
   auto OnHello(packets::Address balancer, const packets::Hello& hello) -> void;
   auto OnHeartbeat(const net::OperatorRequest& request) -> net::OperatorResponse;
   auto OnLeave(const net::OperatorRequest& request) -> net::OperatorResponse;
-  auto Tell(packets::Address balancer, const packets::Control& control) -> void;
-  auto TellLocated(const packets::FlowId& flow, std::uint16_t origin) -> void;
+  auto SendControl(packets::Address balancer, const packets::Control& control) -> void;
+  auto SendLocated(const packets::FlowId& flow, std::uint16_t origin) -> void;
   auto SendBack(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
                 bool by_target) -> void;
   auto Report(packets::Address balancer) -> void;
@@ -67,7 +67,7 @@
   [[nodiscard]] auto Counts() const -> std::vector<NamedCount>;
   auto LogTraffic() -> void;
   auto RemoveRecordOfSilent(base::TimePoint now) -> void;
-  auto LogOdd(std::string_view event, std::string_view path) -> void;
+  auto LogInvalidInput(std::string_view event, std::string_view path) -> void;
   [[nodiscard]] auto IsKnown() const -> bool;
   auto AnnounceToSeeds() -> void;
   auto TargetIdOf(std::string_view path) const -> std::string_view;
@@ -79,16 +79,16 @@
   OperatorView operators;
   packets::Agent core;
   platform::Client client;
-  platform::Client stale_client;  ///< whose reads may be seconds old
+  platform::Client stale_client;  ///< its reads may be seconds old
   telemetry::Summary& work_seconds;
   Registrar registrar;
   std::uint64_t malformed = 0;
-  packets::TargetState told_state = packets::TargetState::kUnknown;  ///< to balancers, unasked
+  packets::TargetState told_state = packets::TargetState::kUnknown;  ///< last pushed state
   TargetWatch target_watch;
-  PeerConfiguration configuration;  ///< a copy, kept for balancers that find it nowhere else
-  base::TimePoint asked_at{};       ///< for a newer one
-  base::TimePoint reminded_at{};    ///< silent balancers, of this agent
-  packets::AgentCounters logged;    ///< as of the last traffic line
+  PeerConfiguration configuration;         ///< copy for balancers that find no other
+  base::TimePoint asked_at{};              ///< last request for a newer configuration
+  base::TimePoint reminded_at{};           ///< last reports to silent balancers
+  packets::AgentCounters logged_counters;  ///< counters as of the last traffic log line
   std::unique_ptr<net::UdpPort> packet_port;
   std::unique_ptr<net::UdpPort> target_port;
   std::unique_ptr<net::UdpPort> control_port;
--- a/src/packetd/internal/agent_node.cc
+++ b/src/packetd/internal/agent_node.cc
@@ -17,31 +17,33 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// From SIGTERM on: one way to every balancer, so that openings on their way are still passed on.
-// The flows of a live target are silent while the agent is away, so it is kept short.
-constexpr auto kLeaveAfter = base::milliseconds{100};
+// Time from SIGTERM to the end of the process. It covers the one-way delay to every balancer, so
+// that openings in flight are still forwarded. It is short because the flows of a live target
+// stall while the agent is not running.
+constexpr auto kShutdownDelay = base::milliseconds{100};
 
 constexpr auto kOk = 200U;
 constexpr auto kBadRequest = 400U;
 constexpr auto kConflict = 409U;
 
-// Characters of a path in a log line; a caller chooses how long it is.
+// Longest part of a path in a log line, in characters; the sender chooses the path's length.
 constexpr auto kLoggedPath = std::size_t{80};
 
-auto Json(unsigned status) -> net::OperatorResponse {
+auto JsonReply(unsigned status) -> net::OperatorResponse {
   return {.status = status, .content_type = "application/json", .body = "{}"};
 }
 
-auto Plain(unsigned status) -> net::OperatorResponse {
+auto PlainReply(unsigned status) -> net::OperatorResponse {
   auto response = net::OperatorResponse{};
   response.status = status;
   return response;
 }
 
-// Two heartbeats and a half, so that one may be lost; but before the address may serve another
-// service. Openings are withheld from a target that is well if it is shorter than this many.
+// A target counts as silent after two and a half heartbeat periods, so that one heartbeat may be
+// lost, but at the latest when its address may serve another service. The time is at least
+// kMinHeartbeats periods; a shorter one withholds openings from a healthy target.
 constexpr auto kSilentHeartbeats = 2.5;
-constexpr auto kLeastHeartbeats = 1.5;
+constexpr auto kMinHeartbeats = 1.5;
 
 auto HeartbeatsOf(const AgentSettings& settings, double count) -> base::Duration {
   const auto period = std::chrono::duration<double>(settings.heartbeat_period);
@@ -51,20 +53,21 @@
 auto SilentFor(const AgentSettings& settings) -> base::Duration {
   const auto missed =
       std::min(HeartbeatsOf(settings, kSilentHeartbeats), settings.address_reused_after);
-  return std::max(missed, HeartbeatsOf(settings, kLeastHeartbeats));
+  return std::max(missed, HeartbeatsOf(settings, kMinHeartbeats));
 }
 
-// A target that has sent more heartbeats ran before this process did, and an earlier process has
-// written the record.
-constexpr auto kFirstHeartbeats = std::uint64_t{2};
+// A target with a higher heartbeat sequence number started before this process, so an earlier
+// process has written the record.
+constexpr auto kMaxStartupHeartbeats = std::uint64_t{2};
 
-// Between two questions for a newer configuration: a storm of changes is not followed step by step.
-constexpr auto kAskAgain = base::milliseconds{500};
+// Shortest time between two requests for a newer configuration, so that an agent does not fetch
+// every revision of a rapid series.
+constexpr auto kMinAskInterval = base::milliseconds{500};
 
-// Balancers that are silent are told of this agent this often, so many at a time: after all of them
-// were started again each is known to some agents within half a second, and these are told on.
-constexpr auto kRemindEvery = base::milliseconds{500};
-constexpr auto kMostReminded = std::size_t{8};
+// Period and number of the reports to silent balancers. After a restart of all balancers, each one
+// knows some agents within half a second and announces them to the other balancers.
+constexpr auto kRemindPeriod = base::milliseconds{500};
+constexpr auto kMaxReminded = std::size_t{8};
 
 auto MembersKey(const Adapter& adapter, const Settings& settings) -> std::string {
   return std::string(adapter.members_prefix) + "/" + RecordName(AddressOf(settings.packets));
@@ -80,8 +83,9 @@
       reload(std::move(reload)),
       client(MakeClient(io, settings, *adapter.dialect)),
       stale_client(MakeClient(io, settings, *adapter.stale_dialect)),
-      work_seconds(telemetry::AddSummary(this->operators.registry, "anvildrum_packets_work_seconds",
-                                         "From a request's last packet to its answer's first")),
+      work_seconds(
+          telemetry::AddSummary(this->operators.registry, "anvildrum_packets_work_seconds",
+                                "Time from a request's last packet to its answer's first packet")),
       registrar(io, {this->client, this->stale_client}, MembersKey(adapter, settings),
                 StartSeed(settings)),
       target_watch(io, settings.agent->target,
@@ -91,7 +95,7 @@
   this->core.own = AddressOf(settings.packets);
   this->core.domain = packets::DomainTagOf(settings.failure_domain);
   this->core.policy.silent_for = SilentFor(*settings.agent);
-  this->core.policy.never_heard_timeout = HeartbeatsOf(*settings.agent, kLeastHeartbeats);
+  this->core.policy.never_heard_timeout = HeartbeatsOf(*settings.agent, kMinHeartbeats);
   this->core.policy.heartbeat_every = settings.agent->heartbeat_period;
   this->core.policy.confirmation_interval = settings.agent->heartbeat_period / 2;
   this->core.service = base::ServiceIdOf(settings.agent->service);
@@ -122,8 +126,8 @@
   return {};
 }
 
-// Balancers are told at once of a target that falls silent or was never heard of: what waits for it
-// need not wait for their next hello.
+// A change of the target's state is reported to all balancers at once, for example when the target
+// falls silent, so that packets waiting for it do not have to wait for the next hello.
 auto AgentNode::Check(base::TimePoint now) -> void {
   packets::NoteEvent(this->core.stall, now);
   packets::RefreshPeers(this->core, now);
@@ -132,21 +136,22 @@
   if (std::exchange(this->told_state, state) != state) this->ReportToAll();
 }
 
-// Safeguard: all balancers end at once while the platform is away. Started again they found the
-// configuration nowhere, and nothing was served until the platform was back.
+// Safeguard: if all balancers end at once during a platform outage, they find the configuration
+// nowhere after a restart, and no packet is forwarded until the platform is back. Copies at agents
+// prevent this.
 auto AgentNode::KeepConfiguration(packets::Address balancer, std::uint64_t revision) -> void {
   const auto now = base::Now();
   const auto newer = revision > this->configuration.Revision();
-  if (!newer || now - this->asked_at < kAskAgain) return;
+  if (!newer || now - this->asked_at < kMinAskInterval) return;
   if (!packets::HoldsConfigurationCopy(this->core)) return;
   this->asked_at = now;
   this->configuration.AskFor(balancer);
 }
 
 auto AgentNode::RemindBalancers(base::TimePoint now) -> void {
-  if (now - this->reminded_at < kRemindEvery) return;
+  if (now - this->reminded_at < kRemindPeriod) return;
   this->reminded_at = now;
-  for (const auto balancer : packets::SilentBalancers(this->core, kMostReminded, now)) {
+  for (const auto balancer : packets::SilentBalancers(this->core, kMaxReminded, now)) {
     this->Report(balancer);
   }
 }
@@ -159,14 +164,18 @@
 }
 
 auto AgentNode::OpenPorts() -> base::Result<void> {
-  auto packet_opened = net::UdpPort::Open(
-      this->io, PacketPortOptions(this->settings.packets),
-      [this](const base::Endpoint&, std::span<const std::uint8_t> data) { this->OnPeer(data); });
+  auto packet_opened =
+      net::UdpPort::Open(this->io, PacketPortOptions(this->settings.packets),
+                         [this](const base::Endpoint&, std::span<const std::uint8_t> data) {
+                           this->OnPeerPacket(data);
+                         });
   if (!packet_opened) return packet_opened.error();
   this->packet_port = std::move(packet_opened.value());
-  auto target_opened = net::UdpPort::Open(
-      this->io, PacketPortOptions(this->settings.agent->from_target),
-      [this](const base::Endpoint&, std::span<const std::uint8_t> data) { this->OnTarget(data); });
+  auto target_opened =
+      net::UdpPort::Open(this->io, PacketPortOptions(this->settings.agent->from_target),
+                         [this](const base::Endpoint&, std::span<const std::uint8_t> data) {
+                           this->OnTargetPacket(data);
+                         });
   if (!target_opened) return target_opened.error();
   this->target_port = std::move(target_opened.value());
   auto control_opened = net::UdpPort::Open(
@@ -184,7 +193,7 @@
   if (!readiness) return readiness.error();
   this->readiness_port = std::move(readiness.value());
   this->readiness_port->Route("GET", std::string(this->adapter.readiness_path),
-                              [](const net::OperatorRequest&) { return Plain(kOk); });
+                              [](const net::OperatorRequest&) { return PlainReply(kOk); });
   auto heartbeats = net::OperatorPort::Open(this->io, {.local = this->settings.heartbeats});
   if (!heartbeats) return heartbeats.error();
   this->heartbeat_port = std::move(heartbeats.value());
@@ -201,7 +210,7 @@
   return {};
 }
 
-// The target is another one, perhaps of another service, at the same address.
+// The agent may have a different target from now on, possibly of another service.
 auto AgentNode::Reload(const Settings& changed) -> void {
   this->settings.seeds = changed.seeds;
   if (!changed.agent || *changed.agent == *this->settings.agent) return;
@@ -217,35 +226,35 @@
 auto AgentNode::Stop() -> base::Duration {
   this->core.stopping = true;
   this->ReportToAll();
-  return std::min<base::Duration>(kLeaveAfter, this->settings.grace / 2);
+  return std::min<base::Duration>(kShutdownDelay, this->settings.grace / 2);
 }
 
-auto AgentNode::OnPeer(std::span<const std::uint8_t> datagram) -> void {
+auto AgentNode::OnPeerPacket(std::span<const std::uint8_t> datagram) -> void {
   const auto packet = this->adapter.decode_packet(datagram);
   if (!packet) {
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::FromPeer(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::FromPeer(this->core, *packet, base::Now()));
 }
 
-auto AgentNode::OnTarget(std::span<const std::uint8_t> datagram) -> void {
+auto AgentNode::OnTargetPacket(std::span<const std::uint8_t> datagram) -> void {
   const auto packet = this->adapter.decode_packet(datagram);
   if (!packet) {
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::FromTarget(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::FromTarget(this->core, *packet, base::Now()));
 }
 
-auto AgentNode::Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-                      const packets::AgentVerdict& verdict) -> void {
+auto AgentNode::ApplyVerdict(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
+                             const packets::AgentVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(
       base::Overloaded{[&](const packets::DeliverToTarget& deliver) {
                          this->packet_port->Send(this->settings.agent->target, datagram);
                          if (deliver.located) {
-                           this->TellLocated(packets::FlowFromClient(packet), packet.stamp.origin);
+                           this->SendLocated(packets::FlowFromClient(packet), packet.stamp.origin);
                          }
                        },
                        [&](const packets::SendToClient& reply) {
@@ -253,7 +262,7 @@
                            this->ObserveWork(*reply.answered_after);
                          }
                          if (reply.located_for) {
-                           this->TellLocated(packets::FlowFromTarget(packet), *reply.located_for);
+                           this->SendLocated(packets::FlowFromTarget(packet), *reply.located_for);
                          }
                          this->packet_port->Send(
                              base::EndpointFromV4(packet.destination.address, port), datagram);
@@ -295,7 +304,7 @@
     return this->Report(sender);
   }
   if (query != nullptr) {
-    return this->Tell(sender, packets::AnswerQuery(this->core, *query, base::Now()));
+    return this->SendControl(sender, packets::AnswerQuery(this->core, *query, base::Now()));
   }
   ++this->malformed;
 }
@@ -320,21 +329,22 @@
       this->adapter.decode_heartbeat(this->TargetIdOf(request.path), request.body);
   if (!heartbeat) {
     ++this->malformed;
-    this->LogOdd("heartbeat_unreadable", request.path);
-    return Json(kBadRequest);
+    this->LogInvalidInput("heartbeat_unreadable", request.path);
+    return JsonReply(kBadRequest);
   }
   auto outcome = packets::TakeHeartbeat(this->core, *heartbeat, base::Now());
   if (outcome == packets::HeartbeatOutcome::kOtherService) {
     this->reload();
     outcome = packets::TakeHeartbeat(this->core, *heartbeat, base::Now());
   }
-  // What is not believed is not acknowledged: a target takes an acknowledged departure for known.
+  // A stale heartbeat is not acknowledged, because a target assumes that a departure is known once
+  // it is acknowledged.
   if (outcome == packets::HeartbeatOutcome::kStale) {
-    this->LogOdd("heartbeat_not_believed", request.path);
-    return Json(kConflict);
+    this->LogInvalidInput("heartbeat_not_believed", request.path);
+    return JsonReply(kConflict);
   }
-  this->target_watch.Heard();
-  if (outcome != packets::HeartbeatOutcome::kChanged || this->core.stopping) return Json(kOk);
+  this->target_watch.OnTargetAlive();
+  if (outcome != packets::HeartbeatOutcome::kChanged || this->core.stopping) return JsonReply(kOk);
   this->told_state = packets::StateOf(this->core, base::Now());
   Log(LogLevel::kInfo, "target_state",
       {{"target", heartbeat->incarnation.id},
@@ -343,22 +353,22 @@
        {"draining", heartbeat->draining}});
   this->ReportToAll();
   this->AnnounceToSeeds();
-  if (heartbeat->sequence > kFirstHeartbeats) this->registrar.ExpectObject();
+  if (heartbeat->sequence > kMaxStartupHeartbeats) this->registrar.ExpectObject();
   this->registrar.Keep(EncodeRecord({this->core.own, this->settings.agent->service}));
-  return Json(kOk);
+  return JsonReply(kOk);
 }
 
 auto AgentNode::OnLeave(const net::OperatorRequest& request) -> net::OperatorResponse {
   const auto id = this->adapter.target_id(this->TargetIdOf(request.path));
-  if (!packets::TakeLeave(this->core, id, base::Now())) return Json(kOk);
+  if (!packets::TakeLeave(this->core, id, base::Now())) return JsonReply(kOk);
   const auto doubtful = this->core.target.leave_doubtful;
   Log(LogLevel::kInfo, "target_left", {{"target", id}, {"doubtful", doubtful}});
   this->ReportToAll();
   if (!doubtful) this->registrar.Remove();
-  return Json(kOk);
+  return JsonReply(kOk);
 }
 
-auto AgentNode::Tell(packets::Address balancer, const packets::Control& control) -> void {
+auto AgentNode::SendControl(packets::Address balancer, const packets::Control& control) -> void {
   const auto text = packets::EncodeControl(control);
   const auto* bytes = reinterpret_cast<const std::uint8_t*>(text.data());
   this->control_port->Send(ControlEndpoint(this->settings, balancer), {bytes, text.size()});
@@ -367,13 +377,13 @@
 auto AgentNode::Report(packets::Address balancer) -> void {
   auto report = packets::MakeReport(this->core, balancer, base::Now());
   report.revision = this->configuration.Revision();
-  this->Tell(balancer, report);
+  this->SendControl(balancer, report);
 }
 
-auto AgentNode::TellLocated(const packets::FlowId& flow, std::uint16_t origin) -> void {
+auto AgentNode::SendLocated(const packets::FlowId& flow, std::uint16_t origin) -> void {
   const auto located = packets::Located{this->core.own, flow};
   for (const auto balancer : packets::BalancersOf(this->core, origin)) {
-    this->Tell(balancer, located);
+    this->SendControl(balancer, located);
   }
 }
 
@@ -384,7 +394,7 @@
     back.packet = std::vector<std::uint8_t>{datagram.begin(), datagram.end()};
   }
   for (const auto balancer : packets::BalancersOf(this->core, packet.stamp.origin)) {
-    this->Tell(balancer, back);
+    this->SendControl(balancer, back);
   }
 }
 
@@ -406,27 +416,29 @@
   auto counts = CountsOf(this->core);
   const auto calls = CountsOf(CallsByFreshness{this->client.Counts(), this->stale_client.Counts()});
   counts.insert(counts.end(), calls.begin(), calls.end());
-  counts.push_back({"malformed_total", "Datagrams and heartbeats refused whole", this->malformed});
+  counts.push_back(
+      {"malformed_total", "Datagrams and heartbeats rejected as malformed", this->malformed});
   return counts;
 }
 
 auto AgentNode::LogTraffic() -> void {
   const auto& counters = this->core.counters;
-  if (counters.delivered == this->logged.delivered && counters.refused == this->logged.refused) {
+  if (counters.delivered == this->logged_counters.delivered &&
+      counters.refused == this->logged_counters.refused) {
     return;
   }
   const auto work = packets::SummarizeWork(this->core);
   Log(LogLevel::kInfo, "traffic",
-      {{"delivered", counters.delivered - this->logged.delivered},
-       {"replies", counters.replies - this->logged.replies},
-       {"returned", counters.returned - this->logged.returned},
-       {"passed_on", counters.passed_on - this->logged.passed_on},
-       {"over_limit", counters.over_limit - this->logged.over_limit},
-       {"wrong_service", counters.wrong_service - this->logged.wrong_service},
-       {"none_left", counters.none_left - this->logged.none_left},
-       {"given_back", counters.given_back - this->logged.given_back},
-       {"queried", counters.queried - this->logged.queried},
-       {"refused", counters.refused - this->logged.refused},
+      {{"delivered", counters.delivered - this->logged_counters.delivered},
+       {"replies", counters.replies - this->logged_counters.replies},
+       {"returned", counters.returned - this->logged_counters.returned},
+       {"passed_on", counters.passed_on - this->logged_counters.passed_on},
+       {"over_limit", counters.over_limit - this->logged_counters.over_limit},
+       {"wrong_service", counters.wrong_service - this->logged_counters.wrong_service},
+       {"none_left", counters.none_left - this->logged_counters.none_left},
+       {"given_back", counters.given_back - this->logged_counters.given_back},
+       {"queried", counters.queried - this->logged_counters.queried},
+       {"refused", counters.refused - this->logged_counters.refused},
        {"flows", this->core.flows.size()},
        {"at_work", this->core.at_work},
        {"work_offered", work.offered},
@@ -435,26 +447,27 @@
        {"work_repeated", work.repeated},
        {"work_quiet", this->core.quiet_work},
        {"peers", this->core.peers.size()}});
-  this->logged = counters;
+  this->logged_counters = counters;
 }
 
-// The target of a doubtful leave has gone on saying nothing: the leave was its own.
+// Removes the record after a doubtful leave once the target has stayed silent, which shows that the
+// leave was genuine.
 auto AgentNode::RemoveRecordOfSilent(base::TimePoint now) -> void {
   if (!this->core.target.leave_doubtful) return;
   if (packets::StateOf(this->core, now) != packets::TargetState::kAbsent) return;
   this->registrar.Remove();
 }
 
-auto AgentNode::LogOdd(std::string_view event, std::string_view path) -> void {
-  this->operators.LogOdd(event, path.substr(0, kLoggedPath));
+auto AgentNode::LogInvalidInput(std::string_view event, std::string_view path) -> void {
+  this->operators.LogInvalidInput(event, path.substr(0, kLoggedPath));
 }
 
 auto AgentNode::IsKnown() const -> bool {
-  return !this->core.balancers.empty() && this->registrar.Settled();
+  return !this->core.balancers.empty() && this->registrar.IsSettled();
 }
 
-// Where the platform turns this instance away, balancers learn of it from here, and tell each
-// other.
+// If the platform rejects this instance's calls, seeds learn of the agent from these reports and
+// announce it to the other balancers.
 auto AgentNode::AnnounceToSeeds() -> void {
   const auto state = this->core.target.state;
   if (state == packets::TargetState::kAbsent || state == packets::TargetState::kUnknown) return;
--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -20,24 +20,25 @@
 using telemetry::Log;
 using telemetry::LogLevel;
 
-// Between two questions to other balancers while no configuration is known.
+// Period of the requests to other balancers while no configuration is known.
 constexpr auto kAskPeriod = base::milliseconds{250};
 
-// A balancer that has not said hello for this long is not told of agents any more.
-constexpr auto kBalancerFor = base::seconds{5};
+// A balancer that has sent no hello for this long receives no more hellos.
+constexpr auto kBalancerExpiry = base::seconds{5};
 
-// Two hellos, of which one may be lost.
-constexpr auto kHeardLately = base::milliseconds{2500};
+// Covers two hello periods, so that one hello may be lost.
+constexpr auto kRecentHelloWindow = base::milliseconds{2500};
 
-// Balancers whose counts are compared; more than there are seeds.
-constexpr auto kTellersCounted = std::size_t{8};
+// Number of balancers whose counts are compared, more than there are seeds.
+constexpr auto kMaxBalancerReports = std::size_t{8};
 
-// From SIGTERM on: the fabric asks for readiness twice a second and takes a balancer out after two
-// misses; until then clients' packets still come here.
-constexpr auto kLeaveAfter = base::milliseconds{2000};
+// Time from SIGTERM to the end of the process. The fabric probes readiness twice a second and
+// removes a balancer after two failed probes; until then it sends client packets here.
+constexpr auto kShutdownDelay = base::milliseconds{2000};
 
-// Balancers that are looked at for one that has the configuration: most have it, or none does.
-constexpr auto kHoldersLookedAt = std::size_t{8};
+// Number of balancers that are examined for one that has the configuration. Usually most or none of
+// them have it.
+constexpr auto kMaxHoldersExamined = std::size_t{8};
 
 }  // namespace
 
@@ -46,12 +47,12 @@
     : io(io),
       adapter(adapter),
       settings(settings),
-      searcher(io, this->core, this->MakeSearchPorts()),
+      searcher(io, this->core, this->MakeSearchCallbacks()),
       client(MakeClient(io, settings, *adapter.dialect)),
       stale_client(MakeClient(io, settings, *adapter.stale_dialect)),
       peers(io, adapter, settings,
             [this](const platform::Object& object) { this->OnConfiguration(object, "peer"); }),
-      reads({this->client, this->stale_client}, adapter, settings, this->MakeReadPorts()),
+      reads({this->client, this->stale_client}, adapter, settings, this->MakeReadCallbacks()),
       probes(io, settings.heartbeats.port,
              [this](packets::Address machine, base::TimePoint began, bool answered) {
                packets::RecordProbeResult(this->core.view, machine, began, answered);
@@ -63,13 +64,13 @@
 
 auto BalancerNode::Start() -> base::Result<void> {
   this->started_at = base::Now();
-  this->marks = {.origin = static_cast<std::uint32_t>(StartSeed(this->settings)),
-                 .started = this->started_at};
+  this->mark_clock = {.origin = static_cast<std::uint32_t>(StartSeed(this->settings)),
+                      .started = this->started_at};
   packets::NoteEvent(this->core.stall, this->started_at);
   auto opened = this->OpenPorts();
   if (!opened) return opened.error();
   this->Watch();
-  this->TellBalancers(base::Now());  // they answer with the agents that they know
+  this->SendPeriodicHellos(base::Now());  // the replies list the known agents
   this->ask_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kAskPeriod, [this](base::TimePoint /*now*/) {
         if (!this->core.routes && !this->IsConfigurationComing()) this->peers.Ask();
@@ -81,14 +82,14 @@
         this->reads.Check(now);
         this->AskForNewer(now);
         this->LogFreshness(now);
-        this->ProbeSilent(now);
-        this->Greet(now);
+        this->ProbeSilentAgents(now);
+        this->SendDueHellos(now);
       });
   this->sweep_timer =
       std::make_unique<net::PeriodicTimer>(this->io, kSweepPeriod, [this](base::TimePoint now) {
         packets::ForgetHints(this->core, now);
         packets::Forget(this->core.view, now);
-        this->TellBalancers(now);
+        this->SendPeriodicHellos(now);
         this->LogTraffic();
         this->operators.LogCalls({this->client.Counts(), this->stale_client.Counts()}, now);
       });
@@ -132,7 +133,7 @@
 
 auto BalancerNode::Stop() -> base::Duration {
   this->stopping = true;
-  return std::min<base::Duration>(kLeaveAfter, this->settings.grace / 2);
+  return std::min<base::Duration>(kShutdownDelay, this->settings.grace / 2);
 }
 
 auto BalancerNode::IsReady() const -> bool {
@@ -146,11 +147,12 @@
     ++this->malformed;
     return;
   }
-  this->Carry(datagram, *packet, packets::RoutePacket(this->core, *packet, base::Now()));
+  this->ApplyVerdict(datagram, *packet, packets::RoutePacket(this->core, *packet, base::Now()));
 }
 
-auto BalancerNode::Carry(std::span<const std::uint8_t> datagram, const packets::Packet& packet,
-                         const packets::BalancerVerdict& verdict) -> void {
+auto BalancerNode::ApplyVerdict(std::span<const std::uint8_t> datagram,
+                                const packets::Packet& packet,
+                                const packets::BalancerVerdict& verdict) -> void {
   const auto port = this->settings.packets.port;
   std::visit(base::Overloaded{[&](const packets::ForwardToAgent& forward) {
                                 ForwardPacket(*this->packet_port, this->adapter,
@@ -181,14 +183,15 @@
     ++this->malformed;
     return;
   }
-  std::visit(base::Overloaded{
-                 [&](const packets::Hello& hello) { this->OnHello(AddressOf(from), hello, now); },
-                 [&](const packets::TargetReport& report) { this->OnReport(report, now); },
-                 [&](const packets::Located& located) { this->searcher.OnLocated(located, now); },
-                 [&](const packets::FlowAnswer& answer) { this->searcher.OnAnswer(answer, now); },
-                 [&](const packets::GivenBack& back) { this->OnGivenBack(back, now); },
-                 [&](const packets::FlowQuery&) { ++this->malformed; }},  // is for agents
-             *control);
+  std::visit(
+      base::Overloaded{
+          [&](const packets::Hello& hello) { this->OnHello(AddressOf(from), hello, now); },
+          [&](const packets::TargetReport& report) { this->OnReport(report, now); },
+          [&](const packets::Located& located) { this->searcher.OnLocated(located, now); },
+          [&](const packets::FlowAnswer& answer) { this->searcher.OnAnswer(answer, now); },
+          [&](const packets::GivenBack& back) { this->OnGivenBack(back, now); },
+          [&](const packets::FlowQuery&) { ++this->malformed; }},  // only agents answer queries
+      *control);
 }
 
 auto BalancerNode::OnGivenBack(const packets::GivenBack& given_back, base::TimePoint now) -> void {
@@ -204,7 +207,7 @@
   this->searcher.OnGivenBack(given_back, *packet, now);
 }
 
-auto BalancerNode::MakeSearchPorts() -> SearchPorts {
+auto BalancerNode::MakeSearchCallbacks() -> SearchCallbacks {
   return {
       .send_control =
           [this](packets::Address to, const packets::Control& control) {
@@ -230,8 +233,8 @@
           }};
 }
 
-// A balancer that is new, or knows of no agent, is told at once which are live: where the platform
-// turns it away, it has nothing else to go by.
+// A balancer that is new or knows no agents is sent all live agents at once. If the platform
+// rejects its calls, it has no other source.
 auto BalancerNode::OnHello(packets::Address from, const packets::Hello& hello, base::TimePoint now)
     -> void {
   const auto is_new = !this->balancers.contains(from);
@@ -240,7 +243,7 @@
                            .revision = hello.revision};
   this->TakeDrained(hello.drained, "balancer");
   this->NoteNewer(from, hello, now);
-  if (this->TakeConfirmation(hello, now) && this->IsSeed()) this->TellAtOnce(now);
+  if (this->TakeConfirmation(hello, now) && this->IsSeed()) this->SendBriefHello(now);
   for (const auto agent : hello.out_of_reach) {
     packets::TakeOutOfReach(this->core.view, agent, now);
   }
@@ -254,13 +257,13 @@
   }
 }
 
-auto BalancerNode::Greet(base::TimePoint now) -> void {
+auto BalancerNode::SendDueHellos(base::TimePoint now) -> void {
   const auto running_since = this->core.stall.running_since;
   const auto due = packets::DueHellos(this->core.view, {}, running_since, now);
   if (due.empty()) return;
-  this->said = packets::MakeHellos(this->core, now);
+  this->last_hellos = packets::MakeHellos(this->core, now);
   auto briefs = std::map<base::ServiceId, std::string>{};
-  for (const auto& [service, hello] : this->said) {
+  for (const auto& [service, hello] : this->last_hellos) {
     auto brief = hello.brief;
     brief.revision = this->peers.Revision();
     brief.platform_silent = this->IsPlatformSilent(now);
@@ -271,27 +274,28 @@
   }
 }
 
-auto BalancerNode::ProbeSilent(base::TimePoint now) -> void {
-  const auto due = packets::DueProbes(this->core.view, {}, this->probes.Room(),
+auto BalancerNode::ProbeSilentAgents(base::TimePoint now) -> void {
+  const auto due = packets::DueProbes(this->core.view, {}, this->probes.FreeSlots(),
                                       this->core.stall.running_since, now);
   for (const auto agent : due) this->probes.Begin(agent);
 }
 
-// An agent that lacks the list which the last hellos named is sent it.
+// Sends an agent the parts of the last hello's agent list that its report shows as missing.
 auto BalancerNode::OnReport(const packets::TargetReport& report, base::TimePoint now) -> void {
   packets::TakeReport(this->core.view, report, now);
   this->TakeDrained(report.drained, "agent");
   this->AskAgent(report, now);
-  for (const auto& part : packets::WantedParts(this->said, report)) {
+  for (const auto& part : packets::WantedParts(this->last_hellos, report)) {
     this->SendControl(report.agent, packets::EncodeControl(part));
   }
 }
 
-// A new agent is known to all balancers within a second, also to those that the platform turns away
-// or tells late. Balancers find each other by the seeds, which answer whoever says hello.
-auto BalancerNode::TellBalancers(base::TimePoint now) -> void {
+// These hellos make a new agent known to all balancers within a second, including balancers whose
+// calls the platform rejects or answers late. Balancers find each other through the seeds, which
+// answer every sender of a hello.
+auto BalancerNode::SendPeriodicHellos(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
-                [&](const auto& entry) { return now - entry.second.mark.at > kBalancerFor; });
+                [&](const auto& entry) { return now - entry.second.mark.at > kBalancerExpiry; });
   const auto hearsay = packets::NextGossip(this->core.view, this->hearsay, now);
   this->SendHello(this->Balancers(), hearsay, now);
 }
@@ -304,24 +308,24 @@
   return to;
 }
 
-// Balancers know seeds and whom they have told of themselves; seeds know all.
+// Balancers know the seeds and the balancers that exchange hellos with them; seeds know all.
 //
-// Safeguard: a balancer whose last read has failed waits for its turn among all others. Cut off
-// from them, it would go by an old configuration until it forgets them; so it counts itself alone
-// as soon as it hears of nobody.
+// Safeguard: a balancer whose last read failed waits for its turn among all balancers. If it is cut
+// off from them, it would use an old configuration until their entries expire. The count therefore
+// ignores balancers without a recent hello, and falls to one when there are none.
 auto BalancerNode::BalancerCount(base::TimePoint now) const -> std::size_t {
   auto count = std::size_t{1};
-  auto tellers = std::size_t{0};
+  auto reports = std::size_t{0};
   for (const auto& [balancer, known] : this->balancers) {
-    if (now - known.mark.at > kHeardLately) continue;
+    if (now - known.mark.at > kRecentHelloWindow) continue;
     count = std::max<std::size_t>({count, known.balancers, this->balancers.size() + 1});
-    if (++tellers == kTellersCounted) break;
+    if (++reports == kMaxBalancerReports) break;
   }
   return count;
 }
 
-// Others put off their own reads, or read what is new.
-auto BalancerNode::TellAtOnce(base::TimePoint now) -> void {
+// On receipt, other balancers delay their own reads or fetch a newer configuration.
+auto BalancerNode::SendBriefHello(base::TimePoint now) -> void {
   auto brief = packets::Hello{};
   brief.listed = false;
   this->SendHello(this->Balancers(), brief, now);
@@ -333,7 +337,7 @@
   hello.drained = this->core.view.drained;
   hello.confirmed_ago = this->reads.Age(now);
   hello.out_of_reach = packets::OutOfReach(this->core.view, this->core.stall.running_since, now);
-  hello.mark = base::MarkAt(this->marks, now);
+  hello.mark = base::MarkAt(this->mark_clock, now);
   hello.balancers = static_cast<std::uint32_t>(this->balancers.size() + 1);
   auto parts = packets::SplitIntoFrames(hello);
   for (const auto balancer : to) {
@@ -349,13 +353,14 @@
   }
 }
 
-// Balancers that have the configuration in turn, so that those which lack it ask different ones.
+// Returns the balancers that have the configuration in rotation, so that those without it ask
+// different ones.
 //
-// Safeguard: balancers that the platform turns away would all ask the seeds at the same moment, and
-// the seeds' links are too narrow to answer within the time of a question.
+// Safeguard: otherwise all balancers whose calls the platform rejects would ask the seeds at the
+// same moment, and the seeds' links are too narrow to answer them before the requests time out.
 auto BalancerNode::NextHolder(packets::Address receiver) -> packets::Address {
   auto entry = this->balancers.upper_bound(this->last_holder);
-  for (auto looked_at = std::size_t{0}; looked_at < kHoldersLookedAt; ++looked_at, ++entry) {
+  for (auto examined = std::size_t{0}; examined < kMaxHoldersExamined; ++examined, ++entry) {
     if (entry == this->balancers.end()) entry = this->balancers.begin();
     if (entry == this->balancers.end()) return 0;
     this->last_holder = entry->first;
@@ -384,15 +389,17 @@
   counts.insert(counts.end(), reads.begin(), reads.end());
   const auto age = this->ConfigurationAge(base::Now()) / base::milliseconds{1};
   counts.push_back({"configuration_age_ms",
-                    "Since the configuration was confirmed to be the newest",
+                    "Milliseconds since the configuration was confirmed to be the newest",
                     static_cast<std::uint64_t>(age), true});
-  counts.push_back({"configuration_unconfirmed", "Whether that is longer ago than it may be",
+  counts.push_back({"configuration_unconfirmed",
+                    "Whether the last confirmation of the configuration is older than allowed",
                     this->unconfirmed ? 1U : 0U, true});
   if (this->core.routes) {
     counts.push_back({"configuration_version", "Number of the configuration that is in force",
                       this->core.routes->version, true});
   }
-  counts.push_back({"malformed_total", "Datagrams and heartbeats refused whole", this->malformed});
+  counts.push_back(
+      {"malformed_total", "Datagrams and heartbeats rejected as malformed", this->malformed});
   const auto left_out = this->record_watcher->Counters().unreadable;
   counts.push_back({"unreadable_total", "Entries of the platform that could not be used",
                     this->unreadable + left_out});
@@ -401,31 +408,32 @@
 
 auto BalancerNode::LogTraffic() -> void {
   const auto& counters = this->core.counters;
-  if (counters.openings == this->logged.openings && counters.forwarded == this->logged.forwarded) {
+  if (counters.openings == this->logged_counters.openings &&
+      counters.forwarded == this->logged_counters.forwarded) {
     return;
   }
   Log(LogLevel::kInfo, "traffic",
-      {{"openings", counters.openings - this->logged.openings},
-       {"copies", counters.copies - this->logged.copies},
-       {"forwarded", counters.forwarded - this->logged.forwarded},
-       {"searched", counters.unhinted - this->logged.unhinted},
-       {"no_route", counters.no_route - this->logged.no_route},
-       {"no_target", counters.no_target - this->logged.no_target},
-       {"refused", counters.refused - this->logged.refused},
-       {"suspicions", counters.suspicions - this->logged.suspicions},
-       {"queries", counters.queries - this->logged.queries},
-       {"found", counters.found - this->logged.found},
-       {"not_found", counters.not_found - this->logged.not_found},
-       {"resets", counters.resets - this->logged.resets},
+      {{"openings", counters.openings - this->logged_counters.openings},
+       {"copies", counters.copies - this->logged_counters.copies},
+       {"forwarded", counters.forwarded - this->logged_counters.forwarded},
+       {"searched", counters.unhinted - this->logged_counters.unhinted},
+       {"no_route", counters.no_route - this->logged_counters.no_route},
+       {"no_target", counters.no_target - this->logged_counters.no_target},
+       {"refused", counters.refused - this->logged_counters.refused},
+       {"suspicions", counters.suspicions - this->logged_counters.suspicions},
+       {"queries", counters.queries - this->logged_counters.queries},
+       {"found", counters.found - this->logged_counters.found},
+       {"not_found", counters.not_found - this->logged_counters.not_found},
+       {"resets", counters.resets - this->logged_counters.resets},
        {"flows", this->core.hints.size()},
        {"agents", this->core.view.members.size()},
        {"away", FormatAddress(this->FirstAway())}});
-  this->logged = counters;
+  this->logged_counters = counters;
 }
 
-// An agent that keeps lost flows from being reset; 0 where there is none.
+// Returns an agent whose absence prevents the reset of lost flows; 0 if there is none.
 auto BalancerNode::FirstAway() const -> packets::Address {
-  for (const auto& [service, hello] : this->said) {
+  for (const auto& [service, hello] : this->last_hellos) {
     const auto away =
         packets::FirstAway(this->core.view, service, this->core.stall.running_since, base::Now());
     if (away != 0) return away;
--- a/src/packetd/tests/machine_probes_test.cc
+++ b/src/packetd/tests/machine_probes_test.cc
@@ -13,20 +13,20 @@
 using asio::ip::tcp;
 
 constexpr auto kMachine = packets::Address{0x7f000001};
-// More than the system keeps for a listener with the least backlog that nobody accepts from.
-constexpr auto kFilling = 8;
+// More connections than the operating system queues for a listener with the smallest backlog.
+constexpr auto kQueueFillers = 8;
 
-/// A probe's end.
-struct Ended {
+/// The result of a probe.
+struct ProbeResult {
   packets::Address machine = 0;
   bool answered = false;
 };
 
-auto ProbeOnce(asio::io_context& io, std::uint16_t port) -> std::optional<Ended> {
-  auto ended = std::optional<Ended>{};
+auto ProbeOnce(asio::io_context& io, std::uint16_t port) -> std::optional<ProbeResult> {
+  auto ended = std::optional<ProbeResult>{};
   auto probes =
       MachineProbes{io, port, [&](packets::Address machine, base::TimePoint, bool answered) {
-                      ended = Ended{machine, answered};
+                      ended = ProbeResult{machine, answered};
                       io.stop();
                     }};
   probes.Begin(kMachine);
@@ -57,12 +57,12 @@
   BOOST_TEST(refused->answered);
 }
 
-// A machine that is off drops what comes, as a listener whose queue is full does.
+// A listener with a full queue drops connection attempts, as a machine that is off does.
 BOOST_AUTO_TEST_CASE(a_machine_that_drops_connections_has_not_answered) {
   auto io = asio::io_context{1};
   auto acceptor = ListenOn(io);
   auto filling = std::vector<tcp::socket>{};
-  for (auto i = 0; i < kFilling; ++i) {
+  for (auto i = 0; i < kQueueFillers; ++i) {
     auto& socket = filling.emplace_back(io);
     socket.async_connect(acceptor.local_endpoint(), [](const boost::system::error_code&) {});
   }
@@ -71,8 +71,8 @@
   BOOST_TEST(!ended->answered);
 }
 
-// A failure domain of many machines falls silent: each probe takes a socket, and a process has so
-// many. The others follow as probes end.
+// If a failure domain of many machines falls silent, the probes must not use up the sockets of the
+// process. Further probes start as others end.
 BOOST_AUTO_TEST_CASE(no_more_probes_are_begun_than_there_is_room_for) {
   auto io = asio::io_context{1};
   auto acceptor = ListenOn(io);
@@ -80,14 +80,14 @@
   acceptor.close();
   auto ended = std::size_t{0};
   auto probes = MachineProbes{io, port, [&](packets::Address, base::TimePoint, bool) { ++ended; }};
-  const auto room = probes.Room();
+  const auto room = probes.FreeSlots();
   for (auto i = packets::Address{0}; i <= room; ++i) probes.Begin(kMachine + i);
-  BOOST_TEST(probes.Room() == 0U);
+  BOOST_TEST(probes.FreeSlots() == 0U);
   io.run();
   BOOST_TEST(ended == room);
-  BOOST_TEST(probes.Room() == room);
+  BOOST_TEST(probes.FreeSlots() == room);
   probes.Begin(kMachine + static_cast<packets::Address>(room));
-  BOOST_TEST(probes.Room() == room - 1);
+  BOOST_TEST(probes.FreeSlots() == room - 1);
 }
 
 }  // namespace
