--- a/bench/packet_path_bench.cc
+++ b/bench/packet_path_bench.cc
@@ -48,7 +48,7 @@
   auto routes = packets::Routes{};
   routes.version = 1;
   routes.shares[packets::KeyOf(kRoute)] = {{kDesk, 1}};
-  packets::PutInForce(balancer, routes, kNow);
+  packets::ApplyRoutes(balancer, routes, kNow);
   for (auto i = Address{0}; i < static_cast<Address>(agents); ++i) {
     packets::TakeReport(balancer.view,
                         {.agent = kFirstAgent + i,
--- a/bench/placement_model.cc
+++ b/bench/placement_model.cc
@@ -80,7 +80,7 @@
     routes.version = 1;
     routes.shares[packets::KeyOf(kRoute)] = {{kService, 1}};
     for (auto& balancer : this->balancers) {
-      packets::PutInForce(balancer, routes, this->now);
+      packets::ApplyRoutes(balancer, routes, this->now);
       balancer.view.policy.alive_for =
           std::max<Duration>(balancer.view.policy.alive_for, this->ReportEvery() * 4);
     }
--- a/src/packetd/internal/balancer_platform.cc
+++ b/src/packetd/internal/balancer_platform.cc
@@ -226,7 +226,7 @@
   }
   const auto version = routes->version;
   const auto count = routes->shares.size();
-  const auto taken = packets::PutInForce(this->core, std::move(*routes), base::Now());
+  const auto taken = packets::ApplyRoutes(this->core, std::move(*routes), base::Now());
   if (taken) this->peers.Keep(object);
   Log(LogLevel::kInfo, taken ? "configuration_in_force" : "configuration_older",
       {{"version", version}, {"routes", count}, {"revision", object.revision}, {"from", from}});
--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -146,6 +146,6 @@
 
 /// Puts a configuration in force unless it is older than the one that is. False when it is older.
 /// New flows go by it; open flows of routes that stay are left where they are.
-auto PutInForce(Balancer& balancer, Routes routes, base::TimePoint now) -> bool;
+auto ApplyRoutes(Balancer& balancer, Routes routes, base::TimePoint now) -> bool;
 
 }  // namespace anvildrum::packets
--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -296,7 +296,7 @@
   std::erase_if(balancer.hints, [&](const auto& entry) { return now - entry.second.seen > idle; });
 }
 
-auto PutInForce(Balancer& balancer, Routes routes, base::TimePoint now) -> bool {
+auto ApplyRoutes(Balancer& balancer, Routes routes, base::TimePoint now) -> bool {
   if (balancer.routes && routes.version < balancer.routes->version) return false;
   if (balancer.routes) TakeFormerServices(balancer, routes, now);
   balancer.routes = std::move(routes);
--- a/src/packets/tests/balancer_test.cc
+++ b/src/packets/tests/balancer_test.cc
@@ -25,7 +25,7 @@
     auto routes = Routes{};
     routes.version = 3;
     routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-    PutInForce(this->balancer, routes, this->now);
+    ApplyRoutes(this->balancer, routes, this->now);
     this->balancer.view.policy = this->balancer.policy.view;
     for (auto i = Address{0}; i < agents; ++i) this->Report(kFirstAgent + i, 0);
   }
@@ -35,7 +35,7 @@
     auto routes = Routes{};
     routes.version = version;
     routes.shares[KeyOf(kRoute)] = std::move(shares);
-    PutInForce(this->balancer, routes, this->now);
+    ApplyRoutes(this->balancer, routes, this->now);
   }
 
   auto Report(Address agent, std::uint32_t in_flight, TargetState state = TargetState::kReady,
@@ -163,7 +163,7 @@
   rig.Opening(1);
   auto routes = Routes{};
   routes.version = 4;
-  PutInForce(rig.balancer, routes, rig.now);
+  ApplyRoutes(rig.balancer, routes, rig.now);
   BOOST_TEST(std::holds_alternative<Discard>(rig.Data(1)));
 }
 
@@ -309,7 +309,7 @@
   auto rig = Rig{1};
   auto older = Routes{};
   older.version = 2;
-  BOOST_TEST(!PutInForce(rig.balancer, older, rig.now));
+  BOOST_TEST(!ApplyRoutes(rig.balancer, older, rig.now));
   BOOST_TEST(rig.balancer.routes->version == 3U);
 }
 
--- a/src/packets/tests/cold_test.cc
+++ b/src/packets/tests/cold_test.cc
@@ -142,7 +142,7 @@
   auto routes = Routes{};
   routes.version = 1;
   routes.cold_per_second[kDesk] = 20;
-  PutInForce(balancer, routes, kStart);
+  ApplyRoutes(balancer, routes, kStart);
   AddRecord(balancer.view, kOwn, kDesk, kStart);
   AddRecord(balancer.view, kOther, kMapper, kStart);
   const auto hellos = MakeHellos(balancer, kStart);
--- a/src/packets/tests/drain_test.cc
+++ b/src/packets/tests/drain_test.cc
@@ -23,7 +23,7 @@
     auto routes = Routes{};
     routes.version = 1;
     routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-    PutInForce(this->balancer, routes, kStart);
+    ApplyRoutes(this->balancer, routes, kStart);
     this->balancer.records_at = kStart;
     for (auto i = Address{0}; i < 2 * kAgentsInDomain; ++i) this->Report(i);
   }
--- a/src/packets/tests/interleaving_events.cc
+++ b/src/packets/tests/interleaving_events.cc
@@ -63,7 +63,7 @@
   auto routes = Routes{};
   routes.version = 1;
   routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-  PutInForce(fresh, std::move(routes), this->now);
+  ApplyRoutes(fresh, std::move(routes), this->now);
   for (const auto& [agent, service] : this->records) {
     AddRecord(fresh.view, agent, service, this->now);
   }
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -183,7 +183,7 @@
   auto routes = Routes{};
   routes.version = 1;
   routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-  PutInForce(balancer, routes, kStart);
+  ApplyRoutes(balancer, routes, kStart);
   auto rig = Rig{};
   balancer.view = rig.view;
   auto packet = Packet{.source = {0x64400007, 1}, .destination = kRoute};
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -52,7 +52,7 @@
     auto routes = Routes{};
     routes.version = 1;
     routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-    PutInForce(this->balancer, routes, this->now);
+    ApplyRoutes(this->balancer, routes, this->now);
     this->balancer.own = kBalancer;
     this->balancer.records_at = this->now;
     NoteEvent(this->balancer.stall, this->now);
