--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -245,7 +245,7 @@
     packets::TakeOutOfReach(this->core.view, agent, now);
   }
   for (const auto& peer : hello.peers) {
-    packets::AddHearsay(this->core.view, peer.agent, peer.service, now);
+    packets::AddUnverified(this->core.view, peer.agent, peer.service, now);
   }
   const auto knows_agents = !hello.listed || !hello.peers.empty();
   if (!is_new && knows_agents) return;
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -69,7 +69,8 @@
   if (entry != view.members.end()) entry->second.listed = false;
 }
 
-auto AddHearsay(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void {
+auto AddUnverified(View& view, Address agent, base::ServiceId service, base::TimePoint now)
+    -> void {
   Find(view, agent, service, now);
 }
 
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -91,7 +91,7 @@
 auto RemoveRecord(View& view, Address agent) -> void;
 
 /// Another instance named the agent. Adds it if it isn't known.
-auto AddHearsay(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void;
+auto AddUnverified(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void;
 
 /// The agent reported. False for a report that is older than the last one of the same start.
 auto TakeReport(View& view, const TargetReport& report, base::TimePoint now) -> bool;
