--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -37,7 +37,7 @@
 }
 
 auto FlowSearcher::OnLocated(const packets::Located& located, base::TimePoint now) -> void {
-  if (!packets::TakeLocated(this->core, located.flow, located.agent, now)) return;
+  if (!packets::HandleFlowLocated(this->core, located.flow, located.agent, now)) return;
   const auto member = this->core.view.members.find(located.agent);
   if (member == this->core.view.members.end()) return this->held.Drop(located.flow);
   const auto holder = packets::Candidate{located.agent, member->second.service};
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -299,7 +299,7 @@
   return outcomes;
 }
 
-auto TakeLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
+auto HandleFlowLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
     -> bool {
   const auto& flows = balancer.searches.flows;
   const auto entry = flows.find(flow);
--- a/src/packets/search.h
+++ b/src/packets/search.h
@@ -55,7 +55,7 @@
 
 /// An agent says that its target holds a flow. True where the flow's packet had been sent to agents
 /// that could not tell: its search has ended, and what came since follows.
-auto TakeLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
+auto HandleFlowLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
     -> bool;
 
 /// What becomes of a packet that an agent gave back.
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -329,7 +329,7 @@
   for (const auto balancer : BalancersOf(agent.core, origin)) {
     const auto index = balancer - kFirstBalancer;
     this->ToBalancerCore(index, [this, index, flow, own = agent.core.own](auto& core) {
-      if (!TakeLocated(core, flow, own, this->now)) return;
+      if (!HandleFlowLocated(core, flow, own, this->now)) return;
       this->Apply(index, {FlowFound{flow, {own, kDesk}}});
     });
   }
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -189,7 +189,7 @@
   auto packet = Packet{.source = {0x64400007, 1}, .destination = kRoute};
   packet.acknowledge = true;
   packet.payload = 10;
-  TakeLocated(balancer, FlowFromClient(packet), kAgent, kStart);
+  HandleFlowLocated(balancer, FlowFromClient(packet), kAgent, kStart);
   NoteEvent(balancer.stall, kStart);
   balancer.hints[FlowFromClient(packet)] = {.agent = kAgent, .seen = kStart, .opened = true};
   const auto began = kStart + kSilentFor + kTick;
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -162,7 +162,7 @@
       if (this->held.contains({to, flow})) {
         const auto reply = FromTarget(agent, ReplyOf(flow.client.port), this->now);
         if (std::get<SendToClient>(reply).located_for) {
-          TakeLocated(this->balancer, flow, to, this->now);
+          HandleFlowLocated(this->balancer, flow, to, this->now);
         }
         return;
       }
--- a/src/packets/tests/search_test.cc
+++ b/src/packets/tests/search_test.cc
@@ -166,7 +166,7 @@
   FromTarget(rig.agents[40], ReplyOf(9), rig.now);
   rig.Route(DataOf(9));
   rig.balancer.searches = {};
-  TakeLocated(rig.balancer, FlowOf(9), rig.agents[3].own, rig.now);
+  HandleFlowLocated(rig.balancer, FlowOf(9), rig.agents[3].own, rig.now);
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == rig.agents[3].own);
   const auto step = TakeGivenBack(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
   BOOST_TEST(step.keep);
@@ -180,7 +180,7 @@
   auto rig = Rig{5};
   rig.Route(DataOf(9));
   rig.balancer.searches = {};
-  TakeLocated(rig.balancer, FlowOf(9), rig.agents[2].own, rig.now);
+  HandleFlowLocated(rig.balancer, FlowOf(9), rig.agents[2].own, rig.now);
   const auto step = TakeGivenBack(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
   BOOST_REQUIRE(step.outcomes.size() == 1U);
   BOOST_TEST(std::get<FlowFound>(step.outcomes.front()).holder.agent == rig.agents[2].own);
--- a/tools/fuzz/packet_control.cc
+++ b/tools/fuzz/packet_control.cc
@@ -45,7 +45,7 @@
                    packets::TakeReport(balancer.view, report, kNow);
                  },
                  [&](const packets::Located& located) {
-                   packets::TakeLocated(balancer, located.flow, located.agent, kNow);
+                   packets::HandleFlowLocated(balancer, located.flow, located.agent, kNow);
                  },
                  [&](const packets::FlowQuery& query) { packets::AnswerQuery(agent, query, kNow); },
                  [&](packets::FlowAnswer answer) {
