--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -24,7 +24,7 @@
 auto FlowSearcher::OnProbeBack(const packets::FlowId& flow, const packets::GivenBack& given_back,
                                base::TimePoint now) -> void {
   this->Apply(
-      packets::TakeProbeBack(this->core, flow, given_back.agent, given_back.by_target, now));
+      packets::HandleReturnedProbe(this->core, flow, given_back.agent, given_back.by_target, now));
 }
 
 auto FlowSearcher::OnGivenBack(const packets::GivenBack& given_back, const packets::Packet& packet,
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -312,8 +312,8 @@
   return probed;
 }
 
-auto TakeProbeBack(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
-                   base::TimePoint now) -> std::vector<SearchOutcome> {
+auto HandleReturnedProbe(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
+                         base::TimePoint now) -> std::vector<SearchOutcome> {
   const auto entry = balancer.searches.flows.find(flow);
   if (entry == balancer.searches.flows.end()) return {};
   auto& search = entry->second;
--- a/src/packets/search.h
+++ b/src/packets/search.h
@@ -67,8 +67,8 @@
 /// An agent that could not tell has been sent the flow's packet, and its target does not take it.
 /// `by_target`: the target does not hold the flow; otherwise the agent withheld the packet, and the
 /// target may hold the flow half open.
-auto TakeProbeBack(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
-                   base::TimePoint now) -> std::vector<SearchOutcome>;
+auto HandleReturnedProbe(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
+                         base::TimePoint now) -> std::vector<SearchOutcome>;
 
 /// An agent gave back a packet that was sent to it by a hint; `by_target` as above.
 auto TakeGivenBack(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -341,7 +341,7 @@
     this->ToBalancerCore(index, [this, index, packet, by_target, own = agent.core.own](auto& core) {
       if (packet.stamp.refusable) {
         const auto flow = FlowFromClient(packet);
-        return this->Apply(index, TakeProbeBack(core, flow, own, by_target, this->now));
+        return this->Apply(index, HandleReturnedProbe(core, flow, own, by_target, this->now));
       }
       const auto step = TakeGivenBack(core, packet, own, by_target, this->now);
       if (step.keep) this->Await(index, packet);
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -172,7 +172,7 @@
     }
     const auto& back = std::get<GiveBack>(verdict);
     const auto flow_of = FlowFromClient(packet);
-    this->Apply(TakeProbeBack(this->balancer, flow_of, to, back.by_target, this->now), ended);
+    this->Apply(HandleReturnedProbe(this->balancer, flow_of, to, back.by_target, this->now), ended);
   }
 
   base::TimePoint now = kStart;
