--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -29,8 +29,8 @@
 
 auto FlowSearcher::OnGivenBack(const packets::GivenBack& given_back, const packets::Packet& packet,
                                base::TimePoint now) -> void {
-  const auto step =
-      packets::TakeGivenBack(this->core, packet, given_back.agent, given_back.by_target, now);
+  const auto step = packets::HandleReturnedPacket(this->core, packet, given_back.agent,
+                                                  given_back.by_target, now);
   const auto& datagram = std::get<std::vector<std::uint8_t>>(given_back.packet);
   if (step.keep) this->Await(packets::FlowFromClient(packet), datagram);
   this->Apply(step.outcomes);
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -330,8 +330,8 @@
   return {};
 }
 
-auto TakeGivenBack(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
-                   base::TimePoint now) -> GivenBackStep {
+auto HandleReturnedPacket(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
+                          base::TimePoint now) -> GivenBackStep {
   const auto flow = FlowFromClient(packet);
   const auto hint = balancer.hints.find(flow);
   if (hint != balancer.hints.end() && hint->second.agent == agent) hint->second.agent = 0;
--- a/src/packets/search.h
+++ b/src/packets/search.h
@@ -71,7 +71,7 @@
                          base::TimePoint now) -> std::vector<SearchOutcome>;
 
 /// An agent gave back a packet that was sent to it by a hint; `by_target` as above.
-auto TakeGivenBack(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
-                   base::TimePoint now) -> GivenBackStep;
+auto HandleReturnedPacket(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
+                          base::TimePoint now) -> GivenBackStep;
 
 }  // namespace anvildrum::packets
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -343,7 +343,7 @@
         const auto flow = FlowFromClient(packet);
         return this->Apply(index, HandleReturnedProbe(core, flow, own, by_target, this->now));
       }
-      const auto step = TakeGivenBack(core, packet, own, by_target, this->now);
+      const auto step = HandleReturnedPacket(core, packet, own, by_target, this->now);
       if (step.keep) this->Await(index, packet);
       this->Apply(index, step.outcomes);
     });
--- a/src/packets/tests/search_test.cc
+++ b/src/packets/tests/search_test.cc
@@ -155,7 +155,7 @@
   packet.stamp = std::get<ForwardToAgent>(rig.Route(packet)).stamp;
   const auto verdict = FromPeer(rig.agents[half_open - kFirstAgent], packet, rig.now);
   BOOST_REQUIRE(!std::get<GiveBack>(verdict).by_target);
-  TakeGivenBack(rig.balancer, packet, half_open, false, rig.now);
+  HandleReturnedPacket(rig.balancer, packet, half_open, false, rig.now);
   BOOST_TEST(Count<FlowLost>(rig.Search()) == 0U);
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == holder);
 }
@@ -168,7 +168,7 @@
   rig.balancer.searches = {};
   HandleFlowLocated(rig.balancer, FlowOf(9), rig.agents[3].own, rig.now);
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == rig.agents[3].own);
-  const auto step = TakeGivenBack(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
+  const auto step = HandleReturnedPacket(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
   BOOST_TEST(step.keep);
   const auto outcomes = rig.Search();
   BOOST_REQUIRE(Count<FlowFound>(outcomes) == 1U);
@@ -181,7 +181,7 @@
   rig.Route(DataOf(9));
   rig.balancer.searches = {};
   HandleFlowLocated(rig.balancer, FlowOf(9), rig.agents[2].own, rig.now);
-  const auto step = TakeGivenBack(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
+  const auto step = HandleReturnedPacket(rig.balancer, DataOf(9), rig.agents[3].own, true, rig.now);
   BOOST_REQUIRE(step.outcomes.size() == 1U);
   BOOST_TEST(std::get<FlowFound>(step.outcomes.front()).holder.agent == rig.agents[2].own);
 }
