--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -111,7 +111,7 @@
 
 auto Forget(View& view, base::TimePoint now) -> void {
   std::erase_if(view.told_out_of_reach,
-                [&](const auto& told) { return now - told.second > view.policy.told_for; });
+                [&](const auto& told) { return now - told.second > view.policy.peer_report_ttl; });
   std::erase_if(view.members, [&](const auto& entry) {
     const auto& member = entry.second;
     const auto last = WasHeard(member) ? member.heard : member.known_since;
@@ -135,7 +135,7 @@
   if (view.isolated || IsAlive(view, member, now)) return false;
   const auto told = view.told_out_of_reach.find(member.agent);
   const auto was_told = told != view.told_out_of_reach.end() &&
-                        now - told->second < view.policy.told_for &&
+                        now - told->second < view.policy.peer_report_ttl &&
                         told->second > std::max(member.heard, member.reached_at);
   return was_told || FoundOutOfReach(view, member, running_since, now);
 }
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -150,7 +150,7 @@
   BOOST_TEST(IsComplete(rig.view, kDesk, kStart, kStart + kTick));
   BOOST_TEST(OutOfReach(rig.view, kStart, kStart + kTick).empty());
   // Not told any more, it is waited for again; so is one that answers this balancer's own probe.
-  const auto later = kStart + rig.view.policy.told_for + milliseconds{2};
+  const auto later = kStart + rig.view.policy.peer_report_ttl + milliseconds{2};
   rig.Report(kAgent, later);
   rig.Report(kOther, later);
   BOOST_TEST(!IsComplete(rig.view, kDesk, kStart, later));
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -53,7 +53,7 @@
   base::Duration unreachable_for = base::milliseconds{1000};
   /// That another balancer has given a member up counts for this long: two of its messages, of
   /// which one may be lost.
-  base::Duration told_for = base::milliseconds{2500};
+  base::Duration peer_report_ttl = base::milliseconds{2500};
   /// A member that is known and not live is greeted more often for this long: it is starting, or
   /// was left out by the loss of a datagram.
   base::Duration greet_for = base::seconds{2};
