--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -50,7 +50,7 @@
   const auto counts =
       member.report.state != TargetState::kAbsent && (member.listed || WasHeard(member));
   const auto stopping = member.report.state == TargetState::kStopping;
-  const auto away_for = stopping ? view.policy.back_after : view.policy.gone_after;
+  const auto away_for = stopping ? view.policy.back_after : view.policy.silence_timeout;
   return counts && !MayHoldFlows(view, member, now) && now - last <= away_for;
 }
 
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -89,7 +89,7 @@
     const auto soon = kStart + rig.view.policy.unreachable_for;
     rig.DueAt(soon + kTick);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon + kTick) != answered);
-    const auto late = kStart + rig.view.policy.gone_after + kTick;
+    const auto late = kStart + rig.view.policy.silence_timeout + kTick;
     rig.DueAt(late);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, late));
   }
--- a/src/packets/tests/view_test.cc
+++ b/src/packets/tests/view_test.cc
@@ -106,7 +106,7 @@
   BOOST_TEST(IsComplete(view, kMapper, {}, kStart));
   BOOST_TEST(!IsComplete(view, kDesk, {}, kStart + view.policy.back_after));
   BOOST_TEST(IsComplete(view, kDesk, {}, kStart + view.policy.back_after + seconds{1}));
-  const auto long_silent = kStart + view.policy.gone_after + seconds{1};
+  const auto long_silent = kStart + view.policy.silence_timeout + seconds{1};
   BOOST_TEST(IsComplete(view, kDesk, {}, long_silent));
   BOOST_TEST(!IsComplete(view, kDesk, long_silent - seconds{1}, long_silent));  // it was paused
 }
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -43,7 +43,7 @@
   base::Duration suspect_for = base::milliseconds{500};
   /// A member with a record that has been silent for this long is off, cut off or frozen. An agent
   /// that is started again is back within three seconds.
-  base::Duration gone_after = base::seconds{5};
+  base::Duration silence_timeout = base::seconds{5};
   /// The same for one that said that its process ends: started again it is back in some tenths of a
   /// second, within two seconds on a slow instance, and may be paused for two more.
   base::Duration back_after = base::seconds{4};
@@ -135,7 +135,7 @@
 
 /// Whether each agent of the service that has a record or has reported says itself, now, whether it
 /// may hold flows: then no flow of a live target is anywhere else. One that has been silent for
-/// ViewPolicy::gone_after is left out, counted from `running_since` at the earliest.
+/// ViewPolicy::silence_timeout is left out, counted from `running_since` at the earliest.
 ///
 /// Safeguard: a balancer that was paused finds that it has heard from nobody for long. An agent
 /// that was paused after it was left out at once, and a flow that its target held was reset.
