--- a/bench/placement_model.cc
+++ b/bench/placement_model.cc
@@ -81,8 +81,8 @@
     routes.shares[packets::KeyOf(kRoute)] = {{kService, 1}};
     for (auto& balancer : this->balancers) {
       packets::ApplyRoutes(balancer, routes, this->now);
-      balancer.view.policy.alive_for =
-          std::max<Duration>(balancer.view.policy.alive_for, this->ReportEvery() * 4);
+      balancer.view.policy.alive_timeout =
+          std::max<Duration>(balancer.view.policy.alive_timeout, this->ReportEvery() * 4);
     }
     for (auto i = std::size_t{0}; i < kAgents; ++i) this->MakeAgent(i);
   }
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -121,8 +121,8 @@
 
 auto IsAlive(const View& view, const Member& member, base::TimePoint now) -> bool {
   if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_for) return false;
-  const auto alive_for = std::max(view.policy.alive_for, kReportsMissed * view.greet_every);
-  return WasHeard(member) && now - member.heard <= alive_for;
+  const auto alive_timeout = std::max(view.policy.alive_timeout, kReportsMissed * view.greet_every);
+  return WasHeard(member) && now - member.heard <= alive_timeout;
 }
 
 auto IsUsable(const View& view, const Member& member, base::TimePoint now) -> bool {
--- a/src/packets/tests/view_test.cc
+++ b/src/packets/tests/view_test.cc
@@ -54,7 +54,7 @@
   TakeReport(view, ReportOf(kDesk, 7, 1), kStart);
   auto other = ReportOf(kDesk, 9, 1);
   other.agent = kAgent + 1;
-  const auto later = kStart + view.policy.alive_for + milliseconds{1};
+  const auto later = kStart + view.policy.alive_timeout + milliseconds{1};
   TakeReport(view, other, later);
   BOOST_TEST(PlacementSet(view, kDesk, later).size() == 1U);
   BOOST_TEST(SearchSet(view, kDesk, later).front().agent == kAgent + 1);
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -36,7 +36,7 @@
 struct ViewPolicy {
   /// A member that has not reported for this long is taken as gone, or for kReportsMissed periods
   /// of greeting where these are longer.
-  base::Duration alive_for = base::milliseconds{1000};
+  base::Duration alive_timeout = base::milliseconds{1000};
   /// A member that left an opening or a query without an answer is given no other until it reports,
   /// and is asked at each check. Without a report for this long, ten questions, it is taken as
   /// gone.
