--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -144,7 +144,8 @@
                      base::TimePoint now) -> bool {
   const auto last = std::max({member.heard, member.known_since, running_since});
   const auto out_of_reach = !view.isolated && member.unreachable_at > last;
-  return out_of_reach && now - last > view.policy.unreachable_for && !IsAlive(view, member, now);
+  return out_of_reach && now - last > view.policy.unreachable_timeout &&
+         !IsAlive(view, member, now);
 }
 
 auto TakeOutOfReach(View& view, Address agent, base::TimePoint now) -> void {
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -86,7 +86,7 @@
     const auto began = kStart + kSilentFor + kTick;
     rig.DueAt(began);
     TakeProbe(rig.view, kAgent, began, answered);
-    const auto soon = kStart + rig.view.policy.unreachable_for;
+    const auto soon = kStart + rig.view.policy.unreachable_timeout;
     rig.DueAt(soon + kTick);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon + kTick) != answered);
     const auto late = kStart + rig.view.policy.silence_timeout + kTick;
@@ -105,7 +105,7 @@
   const auto began = kStart + kSilentFor + kTick;
   BOOST_TEST((rig.DueAt(began) == std::vector{gone}));
   TakeProbe(rig.view, gone, began, false);
-  const auto soon = kStart + rig.view.policy.unreachable_for + kTick;
+  const auto soon = kStart + rig.view.policy.unreachable_timeout + kTick;
   rig.DueAt(soon);
   BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon));
 }
@@ -116,7 +116,7 @@
   rig.DueAt(began);
   TakeProbe(rig.view, kAgent, began, false);
   rig.Report(kAgent, began + milliseconds{100});
-  const auto later = began + milliseconds{100} + rig.view.policy.unreachable_for + kTick;
+  const auto later = began + milliseconds{100} + rig.view.policy.unreachable_timeout + kTick;
   rig.DueAt(later);
   BOOST_TEST(!IsOutOfReach(rig.view, rig.view.members.at(kAgent), kStart, later));
 }
@@ -194,7 +194,7 @@
   balancer.hints[FlowFromClient(packet)] = {.agent = kAgent, .seen = kStart, .opened = true};
   const auto began = kStart + kSilentFor + kTick;
   TakeProbe(balancer.view, kAgent, began, false);
-  const auto later = kStart + balancer.view.policy.unreachable_for + kTick;
+  const auto later = kStart + balancer.view.policy.unreachable_timeout + kTick;
   for (auto now = kStart; now <= later; now += kStallCheck) NoteEvent(balancer.stall, now);
   BOOST_TEST(std::holds_alternative<AwaitSearch>(RoutePacket(balancer, packet, later)));
 }
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -50,7 +50,7 @@
   /// The same for one whose machine cannot be reached: longer than a process is paused by its own
   /// machine's load, and short enough that a client whose flow was lost is told within its
   /// deadline.
-  base::Duration unreachable_for = base::milliseconds{1000};
+  base::Duration unreachable_timeout = base::milliseconds{1000};
   /// That another balancer has given a member up counts for this long: two of its messages, of
   /// which one may be lost.
   base::Duration peer_report_ttl = base::milliseconds{2500};
