--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -408,7 +408,7 @@
       {{"openings", counters.openings - this->logged.openings},
        {"copies", counters.copies - this->logged.copies},
        {"forwarded", counters.forwarded - this->logged.forwarded},
-       {"searched", counters.unhinted - this->logged.unhinted},
+       {"searched", counters.hint_misses - this->logged.hint_misses},
        {"no_route", counters.no_route - this->logged.no_route},
        {"no_target", counters.no_target - this->logged.no_target},
        {"refused", counters.refused - this->logged.refused},
--- a/src/packetd/internal/metrics.cc
+++ b/src/packetd/internal/metrics.cc
@@ -20,7 +20,7 @@
       {"openings_total", "Openings of flows, copies included", counters.openings},
       {"copies_total", "Openings that their client repeated", counters.copies},
       {"forwarded_total", "Packets sent to agents", counters.forwarded},
-      {"searched_total", "Packets of flows that were not remembered", counters.unhinted},
+      {"searched_total", "Packets of flows that were not remembered", counters.hint_misses},
       {"no_route_total", "Packets to an address without a route", counters.no_route},
       {"no_target_total", "Packets for a service without an agent", counters.no_target},
       {"refused_total", "Openings answered by a reset", counters.refused},
--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -66,7 +66,7 @@
   std::uint64_t openings = 0;
   std::uint64_t copies = 0;  ///< openings that the client repeated
   std::uint64_t forwarded = 0;
-  std::uint64_t unhinted = 0;  ///< packets of flows that weren't remembered
+  std::uint64_t hint_misses = 0;  ///< packets of flows that weren't remembered
   std::uint64_t no_route = 0;
   std::uint64_t no_target = 0;  ///< no agent of the service is known
   std::uint64_t refused = 0;
--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -205,7 +205,7 @@
     const auto service = balancer.view.members.at(agent).service;
     return ForwardToAgent{agent, StampFor(balancer, service)};
   }
-  ++balancer.counters.unhinted;
+  ++balancer.counters.hint_misses;
   if (BeginSearch(balancer, packet, holders, doubtful)) return AwaitSearch{};
   return Discard{DiscardReason::kManySearches};
 }
