--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -39,7 +39,7 @@
   base::Duration hint_idle = base::seconds{20};
   /// A balancer that has run for this long has heard from the agents that live: they remind silent
   /// balancers of themselves twice a second.
-  base::Duration hears_all_after = base::milliseconds{1000};
+  base::Duration discovery_time = base::milliseconds{1000};
   /// How long a service that a route has left may still hold its flows: the age up to which the
   /// users keep them.
   base::Duration former_for = base::seconds{60};
--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -98,7 +98,7 @@
 // repeats its opening then.
 auto MayKnowAll(const Balancer& balancer, base::TimePoint now) -> bool {
   const auto runs_for = now - balancer.stall.running_since;
-  return RecordsAreFresh(balancer, now) || runs_for > balancer.policy.hears_all_after;
+  return RecordsAreFresh(balancer, now) || runs_for > balancer.policy.discovery_time;
 }
 
 // Whether an agent that the opening was offered to before may be given it once more.
--- a/src/packets/tests/drain_test.cc
+++ b/src/packets/tests/drain_test.cc
@@ -115,7 +115,7 @@
   rig.balancer.records_at = kStart;
   BOOST_TEST(std::holds_alternative<RefuseOpening>(rig.Open(2)));
   rig.balancer.records_at = {};
-  rig.balancer.stall.running_since = kStart - rig.balancer.policy.hears_all_after - milliseconds{1};
+  rig.balancer.stall.running_since = kStart - rig.balancer.policy.discovery_time - milliseconds{1};
   BOOST_TEST(std::holds_alternative<RefuseOpening>(rig.Open(3)));
 }
 
