--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -108,7 +108,7 @@
   kNoTarget,
   kDrained,  ///< all domains in which the service has targets are drained
   kWrongService,
-  kNoneTook,      ///< an opening that every agent on its way passed on
+  kNotAccepted,   ///< an opening that every agent on its way passed on
   kMayBeOpen,     ///< an opening that nobody took now, but somebody may have taken before
   kEnded,         ///< the last acknowledgement of a flow that has ended in good order
   kManySearches,  ///< too many flows are searched for
--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -23,7 +23,7 @@
   if (drained && !HasSettled(agent, now)) return Discard{DiscardReason::kDrained};
   if (!packet.stamp.refusable) return Discard{DiscardReason::kMayBeOpen};
   ++agent.counters.refused;
-  return RefuseOpening{DiscardReason::kNoneTook};
+  return RefuseOpening{DiscardReason::kNotAccepted};
 }
 
 // An opening, to the next agent in its flow's order. The stamp counts the agents that it has seen,
--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -262,7 +262,7 @@
       return "all failure domains with targets are drained";
     case DiscardReason::kWrongService:
       return "other service";
-    case DiscardReason::kNoneTook:
+    case DiscardReason::kNotAccepted:
       return "no target took it";
     case DiscardReason::kMayBeOpen:
       return "no target took it, one may have before";
