--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -30,10 +30,10 @@
   base::Duration records_fresh_for = base::seconds{10};
   /// Flows that are remembered, 130 bytes each. Packets of further ones are carried as of unknown
   /// flows: a flood of made-up flows must not end the process at its limit of memory.
-  std::size_t most_hints = 200'000;
+  std::size_t max_hints = 200'000;
   /// Load, in requests for each slot, from which on the candidates count as busy and all agents are
   /// looked at.
-  double busy = 1.0;
+  double busy_load = 1.0;
   /// A flow's hint is dropped after this long without a packet where no configuration says how long
   /// a flow may be idle. The flow itself stays.
   base::Duration hint_idle = base::seconds{20};
@@ -42,11 +42,11 @@
   base::Duration discovery_time = base::milliseconds{1000};
   /// How long a service that a route has left may still hold its flows: the age up to which the
   /// users keep them.
-  base::Duration former_for = base::seconds{60};
+  base::Duration former_service_ttl = base::seconds{60};
   /// Load that an open flow without a request counts for: about one request of 30 ms a second.
-  double held_weight = 0.03;
+  double held_flow_weight = 0.03;
   /// Factor on the load of a target that has just started and is slow.
-  double cold_factor = 2.0;
+  double cold_load_factor = 2.0;
 };
 
 /// Agents that an opening has been sent to; more are not tried.
@@ -108,10 +108,10 @@
   kNoTarget,
   kDrained,  ///< all domains in which the service has targets are drained
   kWrongService,
-  kNotAccepted,   ///< an opening that every agent on its way passed on
-  kMayBeOpen,     ///< an opening that nobody took now, but somebody may have taken before
-  kEnded,         ///< the last acknowledgement of a flow that has ended in good order
-  kManySearches,  ///< too many flows are searched for
+  kNotAccepted,      ///< an opening that every agent on its way passed on
+  kMayBeOpen,        ///< an opening that nobody took now, but somebody may have taken before
+  kEnded,            ///< the last acknowledgement of a flow that has ended in good order
+  kTooManySearches,  ///< too many flows are searched for
 };
 
 /// For logs: a few words in place of the number.
--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -20,8 +20,8 @@
 auto LoadOf(const BalancerPolicy& policy, const Member& member) -> double {
   const auto& report = member.report;
   auto requests = static_cast<double>(report.in_flight + member.offered) +
-                  policy.held_weight * static_cast<double>(report.held);
-  if (report.cold) requests = (requests + 1) * policy.cold_factor;
+                  policy.held_flow_weight * static_cast<double>(report.held);
+  if (report.cold) requests = (requests + 1) * policy.cold_load_factor;
   return requests / std::max(1.0, static_cast<double>(report.slots));
 }
 
@@ -44,7 +44,7 @@
 // of a flow that is forgotten costs less than a request that waits.
 auto ChooseAmong(const Balancer& balancer, std::span<const Address> order) -> Address {
   const auto near = LeastLoaded(balancer, order, balancer.policy.candidates);
-  if (near.first == 0 || near.second < balancer.policy.busy) return near.first;
+  if (near.first == 0 || near.second < balancer.policy.busy_load) return near.first;
   return LeastLoaded(balancer, order, order.size()).first;
 }
 
@@ -80,7 +80,7 @@
 auto HintOf(Balancer& balancer, const FlowId& flow, Hint& forgotten) -> Hint& {
   const auto entry = balancer.hints.find(flow);
   if (entry != balancer.hints.end()) return entry->second;
-  if (balancer.hints.size() >= balancer.policy.most_hints) return forgotten;
+  if (balancer.hints.size() >= balancer.policy.max_hints) return forgotten;
   return balancer.hints[flow];
 }
 
@@ -207,7 +207,7 @@
   }
   ++balancer.counters.hint_misses;
   if (BeginSearch(balancer, packet, holders, doubtful)) return AwaitSearch{};
-  return Discard{DiscardReason::kManySearches};
+  return Discard{DiscardReason::kTooManySearches};
 }
 
 auto RouteOf(Balancer& balancer, const Packet& packet, bool doubtful, base::TimePoint now)
@@ -230,14 +230,14 @@
 }
 
 // What each route that stays has left, with what it had left before.
-auto TakeFormerServices(Balancer& balancer, const Routes& next, base::TimePoint now) -> void {
+auto RecordFormerServices(Balancer& balancer, const Routes& next, base::TimePoint now) -> void {
   for (const auto& [key, shares] : balancer.routes->shares) {
     const auto stays = next.shares.find(key);
     if (stays == next.shares.end()) continue;
     for (const auto& share : shares) {
       const auto same = [&](const Share& other) { return other.service == share.service; };
       if (std::any_of(stays->second.begin(), stays->second.end(), same)) continue;
-      balancer.former[key].push_back({share.service, now + balancer.policy.former_for});
+      balancer.former[key].push_back({share.service, now + balancer.policy.former_service_ttl});
     }
   }
   for (auto& [key, services] : balancer.former) {
@@ -268,7 +268,7 @@
       return "no target took it, one may have before";
     case DiscardReason::kEnded:
       return "the flow has ended";
-    case DiscardReason::kManySearches:
+    case DiscardReason::kTooManySearches:
       return "too many flows are searched for";
   }
   return "unknown";
@@ -298,7 +298,7 @@
 
 auto ApplyRoutes(Balancer& balancer, Routes routes, base::TimePoint now) -> bool {
   if (balancer.routes && routes.version < balancer.routes->version) return false;
-  if (balancer.routes) TakeFormerServices(balancer, routes, now);
+  if (balancer.routes) RecordFormerServices(balancer, routes, now);
   balancer.routes = std::move(routes);
   return true;
 }
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -31,7 +31,7 @@
 // The search has found its flow at the agent.
 auto EndFound(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now) -> void {
   const auto entry = balancer.searches.flows.find(flow);
-  if (!entry->second.everybody) balancer.searches.misses = 0;
+  if (!entry->second.all_agents) balancer.searches.misses = 0;
   balancer.searches.flows.erase(entry);
   ++balancer.counters.found;
   Remember(balancer, flow, agent, now);
@@ -41,11 +41,12 @@
 auto Conclude(Balancer& balancer, const FlowId& flow, base::TimePoint now) -> SearchOutcome {
   const auto& search = balancer.searches.flows.at(flow);
   if (!search.expects_answer) return Fail(balancer, flow, SearchFailure::kNoData);
-  if (!search.proves) return Fail(balancer, flow, SearchFailure::kUnsettled, search.doubter);
+  if (!search.conclusive)
+    return Fail(balancer, flow, SearchFailure::kUnsettled, search.inconclusive_agent);
   const auto away =
       FirstAway(balancer.view, search.services.front(), balancer.stall.running_since, now);
   if (away != 0 || !KnowsAllAgents(balancer, now)) {
-    return Fail(balancer, flow, SearchFailure::kSomeAway, away);
+    return Fail(balancer, flow, SearchFailure::kAgentMissing, away);
   }
   const auto lost = FlowLost{flow, search.acknowledged};
   balancer.searches.flows.erase(flow);
@@ -59,7 +60,7 @@
 auto UnsureOf(const Balancer& balancer, const QueryRound& round, std::size_t place,
               base::TimePoint now) -> std::vector<Candidate> {
   auto unsure = round.unsure[place];
-  if (round.everybody || unsure.size() <= balancer.policy.search.likely) return unsure;
+  if (round.all_agents || unsure.size() <= balancer.policy.search.likely) return unsure;
   const auto agents = AgentsOf(balancer, round.services, now);
   const auto likely = LikelyAgents(balancer, round.flows[place], agents);
   std::erase_if(unsure, [&](const Candidate& candidate) {
@@ -73,8 +74,9 @@
 auto ConcludeRound(Balancer& balancer, const QueryRound& round, const FlowId& flow,
                    std::vector<Candidate> unsure, base::TimePoint now) -> SearchOutcome {
   auto& search = balancer.searches.flows.at(flow);
-  search.proves = round.proves && round.missing.empty();
-  search.doubter = round.missing.empty() ? round.doubter : round.missing.front();
+  search.conclusive = round.conclusive && round.missing.empty();
+  search.inconclusive_agent =
+      round.missing.empty() ? round.inconclusive_agent : round.missing.front();
   search.probed = std::move(unsure);
   if (search.probed.empty() && !round.missing.empty()) {
     return Fail(balancer, flow, SearchFailure::kNoAnswer, round.missing.front());
@@ -101,9 +103,9 @@
 }
 
 // The likely agents do not hold the flow.
-auto AskTheRest(Balancer& balancer, FlowSearch& search, base::TimePoint now) -> void {
+auto AskAllAgents(Balancer& balancer, FlowSearch& search, base::TimePoint now) -> void {
   auto& searches = balancer.searches;
-  search.everybody = true;
+  search.all_agents = true;
   search.stage = SearchStage::kDue;
   if (++searches.misses < balancer.policy.search.misses) return;
   searches.misses = 0;
@@ -121,8 +123,8 @@
     const auto& flow = round.flows[place];
     if (!IsOfRound(balancer, flow, token)) continue;
     auto unsure = UnsureOf(balancer, round, place, now);
-    if (!round.everybody && unsure.empty()) {
-      AskTheRest(balancer, balancer.searches.flows.at(flow), now);
+    if (!round.all_agents && unsure.empty()) {
+      AskAllAgents(balancer, balancer.searches.flows.at(flow), now);
     } else {
       outcomes.push_back(ConcludeRound(balancer, round, flow, std::move(unsure), now));
     }
@@ -141,10 +143,10 @@
   const auto& policy = balancer.policy.search;
   auto ended = std::vector<std::uint32_t>{};
   for (auto& [token, round] : balancer.searches.rounds) {
-    const auto wait = round.everybody ? policy.answer_within : policy.ask_again;
+    const auto wait = round.all_agents ? policy.response_timeout : policy.retry_after;
     if (now - round.asked_at >= wait || !IsWanted(balancer, token, round)) {
       ended.push_back(token);
-    } else if (now - round.sent_at >= policy.ask_again) {
+    } else if (now - round.sent_at >= policy.retry_after) {
       round.sent_at = now;
       balancer.counters.queries += round.missing.size();
       SendQueries(balancer, token, round, step.queries);
@@ -157,8 +159,8 @@
 }
 
 // The agent's answer leaves open whether a flow that nobody holds is lost.
-auto Doubt(QueryRound& round, Address agent) -> void {
-  if (std::exchange(round.proves, false)) round.doubter = agent;
+auto MarkInconclusive(QueryRound& round, Address agent) -> void {
+  if (std::exchange(round.conclusive, false)) round.inconclusive_agent = agent;
 }
 
 // Where the answer's places point to, if they point into the round.
@@ -168,7 +170,7 @@
 
 // The likely agents are awaited for less: the others may hold the flow.
 auto ProbeFor(const SearchPolicy& policy, const FlowSearch& search) -> base::Duration {
-  return search.everybody ? policy.probe_for : policy.answer_within;
+  return search.all_agents ? policy.probe_timeout : policy.response_timeout;
 }
 
 // Whether enough has been heard from the agents that were sent the flow's packet.
@@ -176,7 +178,7 @@
   if (search.stage != SearchStage::kProbing) return false;
   const auto waited = now - search.probed_at;
   const auto single = search.probed.size() == 1 && search.probed.front().agent != search.withheld;
-  return waited >= ProbeFor(policy, search) || (single && waited >= policy.bounce_within);
+  return waited >= ProbeFor(policy, search) || (single && waited >= policy.return_timeout);
 }
 
 // Safeguard: a target acknowledges a request with its answer, which takes longer than a packet that
@@ -192,10 +194,10 @@
   if (holder != search.probed.end()) {
     EndFound(balancer, flow, holder->agent, now);
     step.outcomes.emplace_back(FlowPresumed{flow});
-  } else if (search.everybody) {
+  } else if (search.all_agents) {
     step.outcomes.push_back(Fail(balancer, flow, SearchFailure::kMayBeHeld));
   } else {
-    AskTheRest(balancer, search, now);
+    AskAllAgents(balancer, search, now);
   }
 }
 
@@ -211,9 +213,9 @@
 
 // The agent's target may hold the flow half open, and swallows its packets: the others are asked at
 // once, and its silence tells nothing.
-auto Withhold(FlowSearch& search, Address agent) -> void {
+auto MarkWithheld(FlowSearch& search, Address agent) -> void {
   search.withheld = agent;
-  search.everybody = true;
+  search.all_agents = true;
 }
 
 }  // namespace
@@ -226,7 +228,7 @@
       return "not found, an agent did not answer";
     case SearchFailure::kUnsettled:
       return "not found, agents not settled";
-    case SearchFailure::kSomeAway:
+    case SearchFailure::kAgentMissing:
       return "not found, an agent is away";
     case SearchFailure::kNoData:
       return "not found, no data";
@@ -241,7 +243,8 @@
   auto& searches = balancer.searches;
   const auto flow = FlowFromClient(packet);
   const auto known = searches.flows.find(flow);
-  if (known == searches.flows.end() && searches.flows.size() >= balancer.policy.search.most) {
+  if (known == searches.flows.end() &&
+      searches.flows.size() >= balancer.policy.search.max_searches) {
     return false;
   }
   auto& search = known == searches.flows.end() ? searches.flows[flow] : known->second;
@@ -277,11 +280,11 @@
   const auto place = std::lower_bound(round.missing.begin(), round.missing.end(), answer.agent);
   if (place == round.missing.end() || *place != answer.agent) return {};
   round.missing.erase(place);
-  if (!answer.settled || answer.peers_digest != round.digest) Doubt(round, answer.agent);
+  if (!answer.settled || answer.peers_digest != round.digest) MarkInconclusive(round, answer.agent);
   const auto candidate = Candidate{answer.agent, answer.service};
   const auto asked_for = std::find(round.services.begin(), round.services.end(), answer.service) !=
                          round.services.end();
-  if (!asked_for) Doubt(round, answer.agent);
+  if (!asked_for) MarkInconclusive(round, answer.agent);
   for (const auto unsure : answer.unsure) {
     if (FlowAt(round, unsure) == nullptr || !asked_for) continue;
     round.unsure[unsure].push_back(candidate);
@@ -321,23 +324,23 @@
   const auto left = std::erase_if(
       search.probed, [&](const Candidate& candidate) { return candidate.agent == agent; });
   if (left != 0 && !by_target) {
-    search.proves = false;
-    search.doubter = agent;
+    search.conclusive = false;
+    search.inconclusive_agent = agent;
   }
   if (left == 0 || !search.probed.empty()) return {};
-  if (search.everybody) return {Conclude(balancer, flow, now)};
-  AskTheRest(balancer, search, now);
+  if (search.all_agents) return {Conclude(balancer, flow, now)};
+  AskAllAgents(balancer, search, now);
   return {};
 }
 
 auto HandleReturnedPacket(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
-                          base::TimePoint now) -> GivenBackStep {
+                          base::TimePoint now) -> ReturnedPacketStep {
   const auto flow = FlowFromClient(packet);
   const auto hint = balancer.hints.find(flow);
   if (hint != balancer.hints.end() && hint->second.agent == agent) hint->second.agent = 0;
   const auto verdict = RoutePacket(balancer, packet, now);
   if (std::holds_alternative<AwaitSearch>(verdict)) {
-    if (!by_target) Withhold(balancer.searches.flows.at(flow), agent);
+    if (!by_target) MarkWithheld(balancer.searches.flows.at(flow), agent);
     return {true, {}};
   }
   const auto* forward = std::get_if<ForwardToAgent>(&verdict);
--- a/src/packets/internal/search_queries.cc
+++ b/src/packets/internal/search_queries.cc
@@ -10,7 +10,7 @@
 
 // Asks `agents` for `flows`, which are of one set of services.
 auto Ask(Balancer& balancer, std::vector<FlowId> flows, const std::vector<Place>& agents,
-         bool everybody, base::TimePoint now, SearchStep& step) -> void {
+         bool all_agents, base::TimePoint now, SearchStep& step) -> void {
   const auto token = ++balancer.searches.last_token;
   auto& round = balancer.searches.rounds[token];
   for (const auto& flow : flows) {
@@ -21,31 +21,31 @@
   round.services = balancer.searches.flows.at(flows.front()).services;
   round.unsure.resize(flows.size());
   round.flows = std::move(flows);
-  round.everybody = everybody;
-  round.proves = everybody && round.services.size() == 1;
-  if (everybody) round.digest = DigestOf(agents);
+  round.all_agents = all_agents;
+  round.conclusive = all_agents && round.services.size() == 1;
+  if (all_agents) round.digest = DigestOf(agents);
   for (const auto& place : agents) round.missing.push_back(place.agent);
   round.asked_at = now;
   round.sent_at = now;
   balancer.counters.queries += round.missing.size();
   const auto count = static_cast<std::int64_t>(agents.size());
   const auto rate = static_cast<std::int64_t>(balancer.policy.search.queries_per_second);
-  auto& ask_at = balancer.searches.ask_at;
-  ask_at = std::max(ask_at, now) + base::Duration{base::seconds{count}} / rate;
+  auto& next_query_at = balancer.searches.next_query_at;
+  next_query_at = std::max(next_query_at, now) + base::Duration{base::seconds{count}} / rate;
   SendQueries(balancer, token, round, step.queries);
 }
 
 // Asks `agents` for the flows, as many in a datagram as fit, while the rate allows it.
 auto AskInChunks(Balancer& balancer, const std::vector<FlowId>& flows,
-                 const std::vector<Place>& agents, bool everybody, base::TimePoint now,
+                 const std::vector<Place>& agents, bool all_agents, base::TimePoint now,
                  SearchStep& step) -> void {
   for (auto first = std::size_t{0}; first < flows.size(); first += kFlowsInQuery) {
-    if (now < balancer.searches.ask_at) return;
+    if (now < balancer.searches.next_query_at) return;
     const auto last = std::min(first + kFlowsInQuery, flows.size());
     Ask(balancer,
         {flows.begin() + static_cast<std::ptrdiff_t>(first),
          flows.begin() + static_cast<std::ptrdiff_t>(last)},
-        agents, everybody, now, step);
+        agents, all_agents, now, step);
   }
 }
 
@@ -58,11 +58,11 @@
   const auto likely = balancer.policy.search.likely;
   if (!domain.empty() && flows.size() * likely > domain.size()) {
     const auto all = domain.size() == agents.size();
-    for (const auto& flow : flows) balancer.searches.flows.at(flow).everybody = all;
+    for (const auto& flow : flows) balancer.searches.flows.at(flow).all_agents = all;
     return AskInChunks(balancer, flows, domain, all, now, step);
   }
   for (const auto& flow : flows) {
-    if (now < balancer.searches.ask_at) return;
+    if (now < balancer.searches.next_query_at) return;
     Ask(balancer, {flow}, LikelyAgents(balancer, flow, agents), false, now, step);
   }
 }
@@ -104,16 +104,16 @@
   auto& searches = balancer.searches;
   const auto likely_first =
       now >= searches.all_at_once_until && agents.size() > balancer.policy.search.likely;
-  auto everybody = std::vector<FlowId>{};
+  auto all_agents = std::vector<FlowId>{};
   auto others = std::vector<FlowId>{};
   for (const auto& flow : due) {
     auto& search = searches.flows.at(flow);
-    if (!likely_first) search.everybody = true;
-    (search.everybody ? everybody : others).push_back(flow);
+    if (!likely_first) search.all_agents = true;
+    (search.all_agents ? all_agents : others).push_back(flow);
   }
-  const auto all_now = others.empty() || (!everybody.empty() && searches.turn_of_all);
-  searches.turn_of_all = !all_now;
-  if (all_now) return AskInChunks(balancer, everybody, agents, true, now, step);
+  const auto all_now = others.empty() || (!all_agents.empty() && searches.all_agents_next);
+  searches.all_agents_next = !all_now;
+  if (all_now) return AskInChunks(balancer, all_agents, agents, true, now, step);
   AskLikely(balancer, others, agents, now, step);
 }
 
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -50,7 +50,7 @@
   const auto counts =
       member.report.state != TargetState::kAbsent && (member.listed || WasHeard(member));
   const auto stopping = member.report.state == TargetState::kStopping;
-  const auto away_for = stopping ? view.policy.back_after : view.policy.silence_timeout;
+  const auto away_for = stopping ? view.policy.restart_timeout : view.policy.silence_timeout;
   return counts && !MayHoldFlows(view, member, now) && now - last <= away_for;
 }
 
@@ -120,7 +120,7 @@
 }
 
 auto IsAlive(const View& view, const Member& member, base::TimePoint now) -> bool {
-  if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_for) return false;
+  if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_timeout) return false;
   const auto alive_timeout = std::max(view.policy.alive_timeout, kReportsMissed * view.greet_every);
   return WasHeard(member) && now - member.heard <= alive_timeout;
 }
--- a/src/packets/search.h
+++ b/src/packets/search.h
@@ -59,7 +59,7 @@
     -> bool;
 
 /// What becomes of a packet that an agent gave back.
-struct GivenBackStep {
+struct ReturnedPacketStep {
   bool keep = false;  ///< the packet is kept until its search ends
   std::vector<SearchOutcome> outcomes;
 };
@@ -72,6 +72,6 @@
 
 /// An agent gave back a packet that was sent to it by a hint; `by_target` as above.
 auto HandleReturnedPacket(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
-                          base::TimePoint now) -> GivenBackStep;
+                          base::TimePoint now) -> ReturnedPacketStep;
 
 }  // namespace anvildrum::packets
--- a/src/packets/tests/balancer_test.cc
+++ b/src/packets/tests/balancer_test.cc
@@ -139,7 +139,7 @@
   BOOST_TEST(AgentOf(verdict) == agent);
   BOOST_TEST(std::get<ForwardToAgent>(verdict).stamp.service_tag == TagOf(kDesk));
   BOOST_TEST(AgentOf(rig.Opening(2)) == mapper_agent);
-  rig.now += rig.balancer.policy.former_for;
+  rig.now += rig.balancer.policy.former_service_ttl;
   rig.Report(mapper_agent, 0, TargetState::kReady, kMapper);
   BOOST_TEST((rig.Asked(rig.Data(1)) == std::set<Address>{mapper_agent}));
 }
@@ -151,11 +151,11 @@
   auto rig = Rig{1};
   rig.Report(mapper_agent, 0, TargetState::kReady, kMapper);
   BOOST_TEST((rig.Asked(rig.Data(9)) == std::set<Address>{kFirstAgent}));
-  BOOST_TEST(rig.balancer.searches.rounds.begin()->second.proves);
+  BOOST_TEST(rig.balancer.searches.rounds.begin()->second.conclusive);
   rig.balancer.searches = {};
   rig.Configure(4, {{kDesk, 0}, {kMapper, 1}});
   BOOST_TEST((rig.Asked(rig.Data(8)) == std::set<Address>{kFirstAgent, mapper_agent}));
-  BOOST_TEST(!rig.balancer.searches.rounds.begin()->second.proves);
+  BOOST_TEST(!rig.balancer.searches.rounds.begin()->second.conclusive);
 }
 
 BOOST_AUTO_TEST_CASE(flows_of_a_route_that_is_gone_go_nowhere) {
@@ -317,7 +317,7 @@
 // that are not remembered are carried all the same.
 BOOST_AUTO_TEST_CASE(a_flood_of_flows_fills_no_more_than_the_table) {
   auto rig = Rig{2};
-  rig.balancer.policy.most_hints = 3;
+  rig.balancer.policy.max_hints = 3;
   for (auto port = std::uint16_t{1}; port <= 50; ++port) {
     BOOST_TEST(AgentOf(rig.Opening(port)) != 0U);
     const auto verdict = rig.Data(port);
--- a/src/packets/tests/lost_flows_test.cc
+++ b/src/packets/tests/lost_flows_test.cc
@@ -70,7 +70,7 @@
   auto rig = Rig{65};
   rig.Route(DataOf(9));
   rig.cut.insert(rig.agents[12].own);
-  const auto until = rig.now + SearchPolicy{}.ask_again;
+  const auto until = rig.now + SearchPolicy{}.retry_after;
   auto ended = std::vector<SearchOutcome>{};
   while (rig.now < until) {
     const auto step = StepSearches(rig.balancer, rig.now);
@@ -113,7 +113,7 @@
   auto rig = Rig{5};
   rig.balancer.records_at = rig.now - rig.balancer.policy.records_fresh_for;
   rig.Route(DataOf(9));
-  BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kSomeAway));
+  BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kAgentMissing));
 }
 
 // The balancer was paused, and wakes with the packet in its socket and old beliefs.
--- a/src/packets/tests/search_test.cc
+++ b/src/packets/tests/search_test.cc
@@ -189,11 +189,11 @@
 // More searches than the table holds: their packets are dropped, and the process lives.
 BOOST_AUTO_TEST_CASE(a_flood_of_unknown_flows_fills_no_more_than_the_searches) {
   auto rig = Rig{5};
-  rig.balancer.policy.search.most = 10;
+  rig.balancer.policy.search.max_searches = 10;
   for (auto port = std::uint16_t{1}; port <= 10; ++port) rig.Route(DataOf(port));
   const auto verdict = rig.Route(DataOf(11));
   BOOST_REQUIRE(std::holds_alternative<Discard>(verdict));
-  BOOST_TEST((std::get<Discard>(verdict).reason == DiscardReason::kManySearches));
+  BOOST_TEST((std::get<Discard>(verdict).reason == DiscardReason::kTooManySearches));
   BOOST_TEST(rig.balancer.searches.flows.size() == 10U);
 }
 
--- a/src/packets/tests/view_test.cc
+++ b/src/packets/tests/view_test.cc
@@ -104,8 +104,8 @@
   TakeReport(view, stopping, kStart);
   BOOST_TEST(!IsComplete(view, kDesk, {}, kStart));
   BOOST_TEST(IsComplete(view, kMapper, {}, kStart));
-  BOOST_TEST(!IsComplete(view, kDesk, {}, kStart + view.policy.back_after));
-  BOOST_TEST(IsComplete(view, kDesk, {}, kStart + view.policy.back_after + seconds{1}));
+  BOOST_TEST(!IsComplete(view, kDesk, {}, kStart + view.policy.restart_timeout));
+  BOOST_TEST(IsComplete(view, kDesk, {}, kStart + view.policy.restart_timeout + seconds{1}));
   const auto long_silent = kStart + view.policy.silence_timeout + seconds{1};
   BOOST_TEST(IsComplete(view, kDesk, {}, long_silent));
   BOOST_TEST(!IsComplete(view, kDesk, long_silent - seconds{1}, long_silent));  // it was paused
@@ -137,8 +137,8 @@
   Suspect(member, kStart);
   BOOST_TEST(IsAwaited(view, member, kStart, kStart));
   BOOST_TEST(!IsUsable(view, member, kStart));
-  BOOST_TEST(IsAlive(view, member, kStart + view.policy.suspect_for));
-  const auto gone = kStart + view.policy.suspect_for + milliseconds{1};
+  BOOST_TEST(IsAlive(view, member, kStart + view.policy.suspect_timeout));
+  const auto gone = kStart + view.policy.suspect_timeout + milliseconds{1};
   Suspect(member, gone);  // by another opening: it has been silent since the first
   BOOST_TEST(!IsAlive(view, member, gone));
   TakeReport(view, ReportOf(kDesk, 7, 2), gone);
--- a/src/packets/types/search.h
+++ b/src/packets/types/search.h
@@ -27,21 +27,21 @@
   std::size_t queries_per_second = 1000;
   /// An agent that has not answered for this long is asked once more: several ways there and back
   /// (3 ms), and a pause of an instance at its quota of processor time.
-  base::Duration ask_again = base::milliseconds{40};
+  base::Duration retry_after = base::milliseconds{40};
   /// Answers of all agents are awaited for this long: an agent that has been asked three times in
   /// vain is away.
-  base::Duration answer_within = base::milliseconds{120};
+  base::Duration response_timeout = base::milliseconds{120};
   /// A target gives back a packet of a flow that it does not hold within some milliseconds, and
   /// answers one of its own only when the request has been worked on. Where a single agent has
   /// given nothing back for this long, the flow is taken to be there.
-  base::Duration bounce_within = base::milliseconds{40};
+  base::Duration return_timeout = base::milliseconds{40};
   /// A packet that was sent to agents which could not tell is awaited for this long. A target gives
   /// it back or answers within some milliseconds, unless its instance is at its quota. A client
   /// repeats its packet after 200 ms, and that begins another search.
-  base::Duration probe_for = base::milliseconds{200};
+  base::Duration probe_timeout = base::milliseconds{200};
   /// Searches at once, 300 bytes each: a flood of made-up flows must not end the process at its
   /// limit of memory.
-  std::size_t most = 8'000;
+  std::size_t max_searches = 8'000;
 };
 
 enum class SearchStage : std::uint8_t {
@@ -61,14 +61,14 @@
 struct FlowSearch {
   SearchStage stage = SearchStage::kDue;
   base::TimePoint probed_at{};  ///< begin of SearchStage::kProbing
-  bool everybody = false;       ///< all agents are asked; before that the likely ones
+  bool all_agents = false;      ///< all agents are asked; before that the likely ones
   /// A packet came with data or a FIN, and has not waited anywhere: its client waits for an answer.
   bool expects_answer = false;
   std::uint32_t acknowledged = 0;         ///< by the client's last packet
   std::vector<base::ServiceId> services;  ///< that may hold it
   std::uint32_t round = 0;                ///< QueryRound by token
-  bool proves = false;                    ///< while probing: no other agent may hold it
-  Address doubter = 0;                    ///< an agent that keeps it from being proved
+  bool conclusive = false;                ///< while probing: no other agent may hold it
+  Address inconclusive_agent = 0;         ///< an agent that keeps it from being proved
   Address withheld = 0;  ///< an agent whose target may hold it half open: it proves nothing there
   std::vector<Candidate> probed;  ///< agents that have not given its packet back yet
 };
@@ -77,11 +77,11 @@
 struct QueryRound {
   std::vector<FlowId> flows;
   std::vector<base::ServiceId> services;
-  bool everybody = false;
-  bool proves = false;           ///< as far as answered: a flow that nobody holds is lost
-  Address doubter = 0;           ///< the first agent whose answer kept it from that
-  std::uint32_t digest = 0;      ///< of the agents that were asked
-  std::vector<Address> missing;  ///< have not answered; in order
+  bool all_agents = false;
+  bool conclusive = false;         ///< as far as answered: a flow that nobody holds is lost
+  Address inconclusive_agent = 0;  ///< the first agent whose answer kept it from that
+  std::uint32_t digest = 0;        ///< of the agents that were asked
+  std::vector<Address> missing;    ///< have not answered; in order
   std::vector<std::vector<Candidate>> unsure;  ///< may hold a flow, by place in `flows`
   base::TimePoint asked_at{};
   base::TimePoint sent_at{};
@@ -91,9 +91,9 @@
   std::unordered_map<FlowId, FlowSearch> flows;
   std::unordered_map<std::uint32_t, QueryRound> rounds;  ///< by token
   std::uint32_t last_token = 0;
-  base::TimePoint ask_at{};  ///< when agents may be asked again
-  bool turn_of_all = false;  ///< all agents come next, where flows wait for both
-  std::size_t misses = 0;    ///< searches in a row that the likely agents did not end
+  base::TimePoint next_query_at{};  ///< when agents may be asked again
+  bool all_agents_next = false;     ///< all agents come next, where flows wait for both
+  std::size_t misses = 0;           ///< searches in a row that the likely agents did not end
   base::TimePoint all_at_once_until{};
 };
 
@@ -128,12 +128,12 @@
 
 /// Not found, and not known to be lost: its packets are dropped.
 enum class SearchFailure : std::uint8_t {
-  kNoTarget,   ///< no agent of the service is known
-  kNoAnswer,   ///< an agent did not answer
-  kUnsettled,  ///< agents and this balancer do not all count the same agents yet
-  kSomeAway,   ///< an agent whose target may hold the flow is away
-  kNoData,     ///< of a flow that has ended, perhaps in good order
-  kMayBeHeld,  ///< a target may hold the flow and did not say so
+  kNoTarget,      ///< no agent of the service is known
+  kNoAnswer,      ///< an agent did not answer
+  kUnsettled,     ///< agents and this balancer do not all count the same agents yet
+  kAgentMissing,  ///< an agent whose target may hold the flow is away
+  kNoData,        ///< of a flow that has ended, perhaps in good order
+  kMayBeHeld,     ///< a target may hold the flow and did not say so
 };
 
 /// For logs: a few words in place of the number.
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -40,13 +40,13 @@
   /// A member that left an opening or a query without an answer is given no other until it reports,
   /// and is asked at each check. Without a report for this long, ten questions, it is taken as
   /// gone.
-  base::Duration suspect_for = base::milliseconds{500};
+  base::Duration suspect_timeout = base::milliseconds{500};
   /// A member with a record that has been silent for this long is off, cut off or frozen. An agent
   /// that is started again is back within three seconds.
   base::Duration silence_timeout = base::seconds{5};
   /// The same for one that said that its process ends: started again it is back in some tenths of a
   /// second, within two seconds on a slow instance, and may be paused for two more.
-  base::Duration back_after = base::seconds{4};
+  base::Duration restart_timeout = base::seconds{4};
   /// The same for one whose machine cannot be reached: longer than a process is paused by its own
   /// machine's load, and short enough that a client whose flow was lost is told within its
   /// deadline.
