--- a/src/packets/balancer.h
+++ b/src/packets/balancer.h
@@ -15,81 +15,82 @@
 #include "packets/types/search.h"
 #include "packets/view.h"
 
-/// The balancer's part of packet flows, without input or output: where a client's packet goes. The
-/// target beside an agent is the truth of a flow; what stands here are hints that save a packet its
-/// way along the rendezvous order, and all of them may be lost at any moment.
+/// Decides to which agent a balancer forwards each client packet. This code does no input or
+/// output. Only the target beside an agent knows the state of a flow; a balancer keeps hints that
+/// spare a packet the search along the rendezvous order, and may lose all of them at any moment.
 namespace anvildrum::packets {
 
 struct BalancerPolicy {
   ViewPolicy view;
   SearchPolicy search;
-  /// Agents at the head of a flow's order among which the least loaded is given the opening.
+  /// Number of agents at the head of a flow's rendezvous order among which the least loaded one
+  /// receives the opening.
   std::size_t candidates = 3;
-  /// Records that the platform confirmed this long ago are as new as can be: a watch, its call's
-  /// timeout and a pause.
+  /// Agent records that the platform confirmed within this time count as fresh. It covers one
+  /// watch, the timeout of its call and a pause of the process.
   base::Duration records_fresh_for = base::seconds{10};
-  /// Flows that are remembered, 130 bytes each. Packets of further ones are carried as of unknown
-  /// flows: a flood of made-up flows must not end the process at its limit of memory.
+  /// Maximum number of flow hints, 130 bytes each. Packets of further flows are handled as those of
+  /// unknown flows, so that a flood of forged flows does not exhaust the memory limit.
   std::size_t max_hints = 200'000;
-  /// Load, in requests for each slot, from which on the candidates count as busy and all agents are
-  /// looked at.
+  /// Load in requests per slot at which the candidates count as busy, so that all agents are
+  /// considered.
   double busy_load = 1.0;
-  /// A flow's hint is dropped after this long without a packet where no configuration says how long
-  /// a flow may be idle. The flow itself stays.
+  /// A flow's hint is dropped after this long without a packet if there is no configuration yet to
+  /// set the idle limit. The flow itself stays open.
   base::Duration hint_idle = base::seconds{20};
-  /// A balancer that has run for this long has heard from the agents that live: they remind silent
-  /// balancers of themselves twice a second.
+  /// A balancer that has run for this long has received reports from all live agents, because they
+  /// contact a silent balancer twice a second.
   base::Duration discovery_time = base::milliseconds{1000};
-  /// How long a service that a route has left may still hold its flows: the age up to which the
-  /// users keep them.
+  /// How long a service that was removed from a route may still hold flows of the route: the
+  /// maximum age up to which users keep a flow.
   base::Duration former_service_ttl = base::seconds{60};
-  /// Load that an open flow without a request counts for: about one request of 30 ms a second.
+  /// Load of an open flow without a request, in requests: about one request of 30 ms per second.
   double held_flow_weight = 0.03;
-  /// Factor on the load of a target that has just started and is slow.
+  /// Factor applied to the load of a target that has just started and is still slow.
   double cold_load_factor = 2.0;
 };
 
-/// Agents that an opening has been sent to; more are not tried.
+/// Maximum number of agents that a hint records as tried for an opening.
 inline constexpr auto kMaxOffers = std::size_t{3};
 
-/// What is remembered of a flow.
+/// What a balancer remembers about a flow.
 struct Hint {
-  Address agent = 0;             ///< the one that it was offered to or is held by; 0: not known
+  Address agent = 0;             ///< agent that holds the flow or was offered it; 0: unknown
   base::TimePoint seen{};        ///< last packet
   base::TimePoint offered_at{};  ///< last opening
-  bool opened = false;           ///< the client went on after its opening, so a target answered
+  bool opened = false;           ///< the client sent more after its opening, so a target answered
   std::uint8_t offers = 0;
   std::array<Address, kMaxOffers> tried{};
 };
 
 struct BalancerCounters {
   std::uint64_t openings = 0;
-  std::uint64_t copies = 0;  ///< openings that the client repeated
+  std::uint64_t copies = 0;  ///< openings that the client retransmitted
   std::uint64_t forwarded = 0;
-  std::uint64_t hint_misses = 0;  ///< packets of flows that weren't remembered
+  std::uint64_t hint_misses = 0;  ///< packets of flows without a usable hint
   std::uint64_t no_route = 0;
   std::uint64_t no_target = 0;  ///< no agent of the service is known
   std::uint64_t refused = 0;
   std::uint64_t suspicions = 0;
-  std::uint64_t queries = 0;    ///< agents that were asked for flows, each time
-  std::uint64_t found = 0;      ///< flows that an agent said it holds
+  std::uint64_t queries = 0;    ///< flow queries sent, counted per agent
+  std::uint64_t found = 0;      ///< searches that found the flow's agent
   std::uint64_t not_found = 0;  ///< searches that ended without a result
-  std::uint64_t resets = 0;     ///< flows that no target holds any more, answered by a reset
+  std::uint64_t resets = 0;     ///< lost flows, answered by a reset
 };
 
-/// A service that an earlier configuration sent a route's flows to.
+/// A service to which an earlier configuration sent the flows of a route.
 struct FormerService {
   base::ServiceId service;
-  base::TimePoint until{};  ///< its flows are too old by then to be kept
+  base::TimePoint until{};  ///< when no user keeps its flows any longer
 };
 
 struct Balancer {
   BalancerPolicy policy;
   Address own = 0;
-  DomainTag domain = 0;          ///< where it runs, and where its clients mostly are
+  DomainTag domain = 0;          ///< domain of this balancer and of most of its clients
   base::TimePoint records_at{};  ///< when the platform last confirmed the agents' records
-  std::optional<Routes> routes;  ///< nothing until a configuration has been read
-  std::unordered_map<std::uint64_t, std::vector<FormerService>> former;  ///< by KeyOf the route
+  std::optional<Routes> routes;  ///< empty until a configuration has been read
+  std::unordered_map<std::uint64_t, std::vector<FormerService>> former;  ///< by KeyOf(route)
   View view;
   std::unordered_map<FlowId, Hint> hints;
   Searches searches;
@@ -108,44 +109,44 @@
   kNoTarget,
   kDrained,  ///< all domains in which the service has targets are drained
   kWrongService,
-  kNotAccepted,      ///< an opening that every agent on its way passed on
-  kMayBeOpen,        ///< an opening that nobody took now, but somebody may have taken before
-  kEnded,            ///< the last acknowledgement of a flow that has ended in good order
-  kTooManySearches,  ///< too many flows are searched for
+  kNotAccepted,      ///< every agent that received the opening passed it on
+  kMayBeOpen,        ///< no agent accepted the opening, but one may have before
+  kEnded,            ///< the last acknowledgement of a flow that closed normally
+  kTooManySearches,  ///< the limit of concurrent searches is reached
 };
 
-/// For logs: a few words in place of the number.
+/// Short description of the reason for logs.
 auto NameOf(DiscardReason reason) -> std::string_view;
 
 struct Discard {
   DiscardReason reason = DiscardReason::kNoRoute;
 };
 
-/// Answer the opening with a reset: it has been offered to no target and never will be.
+/// Answer the opening with a reset: it was not offered to any target and never will be.
 struct RefuseOpening {
   DiscardReason reason = DiscardReason::kNoTarget;
 };
 
-/// Keep the packet until the search for its flow ends (packets/search.h).
+/// Hold the packet until the search for its flow ends (packets/search.h).
 struct AwaitSearch {};
 
 using BalancerVerdict = std::variant<ForwardToAgent, RefuseOpening, AwaitSearch, Discard>;
 
-/// Decides on one packet of a client.
+/// Decides what to do with one packet from a client.
 auto RoutePacket(Balancer& balancer, const Packet& packet, base::TimePoint now) -> BalancerVerdict;
 
-/// The stamp of a packet of the service; `refusable` as in Stamp.
+/// Returns the stamp for a packet of the service; `refusable` is as in Stamp.
 auto StampFor(const Balancer& balancer, base::ServiceId service, bool refusable = false) -> Stamp;
 
-/// Whether the platform's records of agents are as new as can be. Without them nobody can say that
-/// no agent is missing.
+/// Whether the platform confirmed the agent records recently. Without fresh records the balancer
+/// cannot rule out that an agent is missing.
 auto RecordsAreFresh(const Balancer& balancer, base::TimePoint now) -> bool;
 
-/// Drops hints of flows that have been quiet for long.
+/// Drops the hints of flows that have been idle for longer than the idle limit.
 auto ForgetHints(Balancer& balancer, base::TimePoint now) -> void;
 
-/// Puts a configuration in force unless it is older than the one that is. False when it is older.
-/// New flows go by it; open flows of routes that stay are left where they are.
+/// Applies a configuration. Returns false, and changes nothing, if it is older than the current
+/// one. New flows follow it; open flows of routes that remain stay at their targets.
 auto ApplyRoutes(Balancer& balancer, Routes routes, base::TimePoint now) -> bool;
 
 }  // namespace anvildrum::packets
