--- a/src/packets/types/place.h
+++ b/src/packets/types/place.h
@@ -8,15 +8,15 @@
 
 namespace anvildrum::packets {
 
-/// A failure domain as it travels: a digest of its name; 0: not known. Two domains with the same
-/// digest are taken for one, so that an operator who drains one of them drains both.
+/// A failure domain as sent in messages: a digest of its name, or 0 if unknown. Two domains with
+/// the same digest count as one, so that an operator who drains one of them drains both.
 using DomainTag = std::uint32_t;
 
-/// As many as a number of three bytes holds on the wire. Of 26 domains two have the same digest in
-/// one of 3,200 fleets.
+/// Number of bits of a DomainTag, as many as a three-byte number holds on the wire. With 26
+/// domains, two of them have the same digest in one of 3,200 fleets.
 inline constexpr auto kDomainTagBits = 21U;
 
-/// Digest of a failure domain's name, never 0.
+/// Returns the digest of a failure domain's name, never 0.
 auto DomainTagOf(std::string_view name) -> DomainTag;
 
 /// An agent and the failure domain that it runs in.
--- a/src/packets/types/search.h
+++ b/src/packets/types/search.h
@@ -14,75 +14,77 @@
 namespace anvildrum::packets {
 
 struct SearchPolicy {
-  /// Agents at the head of a flow's order that are asked first: openings are placed among the first
-  /// three of them, and among more while these are busy.
+  /// Number of agents at the head of a flow's rendezvous order that are queried first. Openings go
+  /// to one of the first three of them, or to a later one while these are busy.
   std::size_t likely = 8;
-  /// Searches in a row that did not end at the likely agents, after which all are asked at once for
-  /// a while: flows are lost, many of them, and one datagram asks an agent for 70.
+  /// After this many consecutive searches that the likely agents did not end, all agents are
+  /// queried at once for a while: many flows are probably lost, and one datagram covers 70 of them.
   std::size_t misses = 8;
-  /// How long after them: a client repeats its packet within 1.6 s.
+  /// How long all agents are queried at once. A client retransmits its packet within 1.6 s.
   base::Duration all_at_once_for = base::milliseconds{1600};
-  /// Datagrams a second that a balancer spends on asking agents: with as many answers, 4 % of a
-  /// core at 20 us each. Flows that are unknown meanwhile are asked for together.
+  /// Query datagrams that a balancer sends per second. Together with as many answers they take 4 %
+  /// of a core at 20 us each. Unknown flows that arrive in between share the next queries.
   std::size_t queries_per_second = 1000;
-  /// An agent that has not answered for this long is asked once more: several ways there and back
-  /// (3 ms), and a pause of an instance at its quota of processor time.
+  /// An agent that has not answered for this long is queried once more. The time covers several
+  /// round trips (3 ms) and the pause of an instance that has used up its CPU quota.
   base::Duration retry_after = base::milliseconds{40};
-  /// Answers of all agents are awaited for this long: an agent that has been asked three times in
-  /// vain is away.
+  /// A query to all agents waits this long for their answers. An agent that has not answered three
+  /// queries by then is missing.
   base::Duration response_timeout = base::milliseconds{120};
-  /// A target gives back a packet of a flow that it does not hold within some milliseconds, and
-  /// answers one of its own only when the request has been worked on. Where a single agent has
-  /// given nothing back for this long, the flow is taken to be there.
+  /// A target returns the packet of a flow that it does not hold within some milliseconds, but
+  /// answers a packet of its own flow only after it has processed the request. If exactly one agent
+  /// has not returned the packet after this time, the flow is presumed to be there.
   base::Duration return_timeout = base::milliseconds{40};
-  /// A packet that was sent to agents which could not tell is awaited for this long. A target gives
-  /// it back or answers within some milliseconds, unless its instance is at its quota. A client
-  /// repeats its packet after 200 ms, and that begins another search.
+  /// How long to wait for a packet that was sent to agents which could not tell. A target returns
+  /// it or answers within some milliseconds, unless its instance has used up its CPU quota. A
+  /// client retransmits its packet after 200 ms, which begins another search.
   base::Duration probe_timeout = base::milliseconds{200};
-  /// Searches at once, 300 bytes each: a flood of made-up flows must not end the process at its
-  /// limit of memory.
+  /// Maximum number of concurrent searches, 300 bytes each, so that a flood of forged flows does
+  /// not exhaust the memory limit.
   std::size_t max_searches = 8'000;
 };
 
 enum class SearchStage : std::uint8_t {
-  kDue,      ///< agents are yet to be asked
-  kAsked,    ///< agents were asked
-  kProbing,  ///< its packet was sent to agents that could not tell
+  kDue,      ///< no agent has been queried yet
+  kAsked,    ///< agents were queried
+  kProbing,  ///< the flow's packet was sent to agents that could not tell
 };
 
-/// An agent, and the service for whose flows it was asked. Its address may serve another one by
-/// now, whose targets must not see these flows: the stamp of a packet names this one.
+/// An agent and the service for whose flows it was queried. The agent's address may belong to
+/// another service by now, whose targets must not receive these flows, so the stamp of a packet
+/// names the queried service.
 struct Candidate {
   Address agent = 0;
   base::ServiceId service;
 };
 
-/// The search for a flow that the balancer does not remember.
+/// The search for a flow for which the balancer has no hint.
 struct FlowSearch {
   SearchStage stage = SearchStage::kDue;
-  base::TimePoint probed_at{};  ///< begin of SearchStage::kProbing
-  bool all_agents = false;      ///< all agents are asked; before that the likely ones
-  /// A packet came with data or a FIN, and has not waited anywhere: its client waits for an answer.
+  base::TimePoint probed_at{};  ///< when SearchStage::kProbing began
+  bool all_agents = false;      ///< all agents are queried; the likely ones if false
+  /// A packet with data or a FIN arrived without a long delay, so its client expects an answer.
   bool expects_answer = false;
-  std::uint32_t acknowledged = 0;         ///< by the client's last packet
-  std::vector<base::ServiceId> services;  ///< that may hold it
-  std::uint32_t round = 0;                ///< QueryRound by token
-  bool conclusive = false;                ///< while probing: no other agent may hold it
-  Address inconclusive_agent = 0;         ///< an agent that keeps it from being proved
-  Address withheld = 0;  ///< an agent whose target may hold it half open: it proves nothing there
-  std::vector<Candidate> probed;  ///< agents that have not given its packet back yet
+  std::uint32_t acknowledged = 0;         ///< acknowledgement number of the client's last packet
+  std::vector<base::ServiceId> services;  ///< services that may hold the flow
+  std::uint32_t round = 0;                ///< token of the QueryRound
+  bool conclusive = false;                ///< while probing: no other agent may hold the flow
+  Address inconclusive_agent = 0;         ///< an agent that leaves the result open
+  /// An agent whose target may hold the flow half open, so that its silence proves nothing.
+  Address withheld = 0;
+  std::vector<Candidate> probed;  ///< agents that have not returned the packet yet
 };
 
-/// One query to several agents.
+/// A query that was sent to several agents, and their answers so far.
 struct QueryRound {
   std::vector<FlowId> flows;
   std::vector<base::ServiceId> services;
   bool all_agents = false;
-  bool conclusive = false;         ///< as far as answered: a flow that nobody holds is lost
-  Address inconclusive_agent = 0;  ///< the first agent whose answer kept it from that
-  std::uint32_t digest = 0;        ///< of the agents that were asked
-  std::vector<Address> missing;    ///< have not answered; in order
-  std::vector<std::vector<Candidate>> unsure;  ///< may hold a flow, by place in `flows`
+  bool conclusive = false;         ///< by the answers so far, a flow that no target holds is lost
+  Address inconclusive_agent = 0;  ///< first agent whose answer leaves this open
+  std::uint32_t digest = 0;        ///< digest of the agents that were queried
+  std::vector<Address> missing;    ///< agents that have not answered, sorted
+  std::vector<std::vector<Candidate>> unsure;  ///< may hold a flow, by index in `flows`
   base::TimePoint asked_at{};
   base::TimePoint sent_at{};
 };
@@ -91,58 +93,58 @@
   std::unordered_map<FlowId, FlowSearch> flows;
   std::unordered_map<std::uint32_t, QueryRound> rounds;  ///< by token
   std::uint32_t last_token = 0;
-  base::TimePoint next_query_at{};  ///< when agents may be asked again
-  bool all_agents_next = false;     ///< all agents come next, where flows wait for both
-  std::size_t misses = 0;           ///< searches in a row that the likely agents did not end
+  base::TimePoint next_query_at{};  ///< earliest time of the next query
+  bool all_agents_next = false;     ///< if flows wait for both, all agents are queried next
+  std::size_t misses = 0;           ///< consecutive searches that the likely agents did not end
   base::TimePoint all_at_once_until{};
 };
 
-/// Whether there is anything to step.
+/// Whether there are no searches and no open rounds.
 inline auto IsIdle(const Searches& searches) -> bool {
   return searches.flows.empty() && searches.rounds.empty();
 }
 
-/// The flow's packets go to this agent.
+/// The flow was found; its packets go to this agent.
 struct FlowFound {
   FlowId flow;
   Candidate holder;
 };
 
-/// Only the targets can tell: its packet goes to each of these agents.
+/// Only the targets can tell whether they hold the flow; its packet goes to each of these agents.
 struct FlowUnsure {
   FlowId flow;
   std::vector<Candidate> agents;
 };
 
-/// One of the agents that were sent the flow's packet has not given it back: it is taken to be
-/// there, and has the packet.
+/// An agent that received the flow's packet has not returned it, so the flow is presumed to be
+/// there. The packet need not be sent again.
 struct FlowPresumed {
   FlowId flow;
 };
 
-/// No target holds the flow: answer with a reset.
+/// No target holds the flow; the client is answered with a reset.
 struct FlowLost {
   FlowId flow;
-  std::uint32_t acknowledged = 0;  ///< by the client
+  std::uint32_t acknowledged = 0;  ///< acknowledgement number of the client's last packet
 };
 
-/// Not found, and not known to be lost: its packets are dropped.
+/// Why a flow was neither found nor known to be lost. The flow's packets are dropped.
 enum class SearchFailure : std::uint8_t {
   kNoTarget,      ///< no agent of the service is known
   kNoAnswer,      ///< an agent did not answer
-  kUnsettled,     ///< agents and this balancer do not all count the same agents yet
-  kAgentMissing,  ///< an agent whose target may hold the flow is away
-  kNoData,        ///< of a flow that has ended, perhaps in good order
-  kMayBeHeld,     ///< a target may hold the flow and did not say so
+  kUnsettled,     ///< agents and this balancer do not all know the same agents yet
+  kAgentMissing,  ///< an agent whose target may hold the flow is missing
+  kNoData,        ///< no data arrived; the flow may have closed normally
+  kMayBeHeld,     ///< a target may hold the flow but did not answer
 };
 
-/// For logs: a few words in place of the number.
+/// Short description of the failure for logs.
 auto NameOf(SearchFailure failure) -> std::string_view;
 
 struct FlowNotFound {
   FlowId flow;
   SearchFailure reason = SearchFailure::kNoAnswer;
-  Address agent = 0;  ///< the first that the reason is about; 0: none alone
+  Address agent = 0;  ///< first agent that caused the failure; 0: no single one
 };
 
 using SearchOutcome = std::variant<FlowFound, FlowUnsure, FlowPresumed, FlowLost, FlowNotFound>;
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -13,159 +13,170 @@
 
 namespace anvildrum::packets {
 
-/// An agent as a balancer knows it.
+/// What a balancer knows about an agent.
 struct Member {
   Address agent = 0;
   base::ServiceId service;
   bool listed = false;  ///< has a record at the platform
   base::TimePoint known_since{};
-  base::TimePoint heard{};         ///< last report; the epoch: never
-  base::TimePoint suspected_at{};  ///< given no opening until it reports; the epoch: not suspected
-  base::TimePoint restarted_at{};  ///< first report of another start than before; the epoch: none
+  base::TimePoint heard{};         ///< time of the last report; the epoch: never
+  base::TimePoint suspected_at{};  ///< gets no opening until it reports; the epoch: not suspected
+  base::TimePoint restarted_at{};  ///< first report after a restart; the epoch: none
   base::TimePoint greeted_at{};    ///< last hello; the epoch: none yet
-  base::TimePoint probed_at{};     ///< its machine was asked for a connection; the epoch: never
-  /// When the attempt began that its machine left unanswered; the epoch, or before `heard`: it has
-  /// answered since.
+  base::TimePoint probed_at{};     ///< last connection attempt to its machine; the epoch: never
+  /// Start of the connection attempt that the agent's machine did not answer. If this is the epoch
+  /// or before `heard`, the agent has answered since.
   base::TimePoint unreachable_at{};
-  base::TimePoint reached_at{};    ///< when the last attempt began that was answered
-  std::uint64_t told_changes = 0;  ///< View::changes as of that hello
+  base::TimePoint reached_at{};    ///< start of the last answered connection attempt
+  std::uint64_t told_changes = 0;  ///< View::changes at the last hello
   TargetReport report;
   std::uint32_t offered = 0;  ///< openings sent to it since its last report
 };
 
 struct ViewPolicy {
-  /// A member that has not reported for this long is taken as gone, or for kReportsMissed periods
-  /// of greeting where these are longer.
+  /// A member counts as not alive after this long without a report, or after kReportsMissed
+  /// greeting intervals if these take longer.
   base::Duration alive_timeout = base::milliseconds{1000};
-  /// A member that left an opening or a query without an answer is given no other until it reports,
-  /// and is asked at each check. Without a report for this long, ten questions, it is taken as
-  /// gone.
+  /// A member that left an opening or a query unanswered gets no further opening until it reports,
+  /// and is asked for a report at each check. It counts as not alive after this long without a
+  /// report, which is ten such requests.
   base::Duration suspect_timeout = base::milliseconds{500};
-  /// A member with a record that has been silent for this long is off, cut off or frozen. An agent
-  /// that is started again is back within three seconds.
+  /// A member with a record that has been silent for this long counts as powered off, disconnected
+  /// or frozen. A restarted agent reports again within three seconds.
   base::Duration silence_timeout = base::seconds{5};
-  /// The same for one that said that its process ends: started again it is back in some tenths of a
-  /// second, within two seconds on a slow instance, and may be paused for two more.
+  /// The same limit for a member that reported that its process is stopping. After a restart it
+  /// reports within some tenths of a second, or within two seconds on a slow instance, and it may
+  /// be paused for two more seconds.
   base::Duration restart_timeout = base::seconds{4};
-  /// The same for one whose machine cannot be reached: longer than a process is paused by its own
-  /// machine's load, and short enough that a client whose flow was lost is told within its
-  /// deadline.
+  /// The same limit for a member whose machine is unreachable. It is longer than the load of a
+  /// machine pauses a process, and short enough that the client of a lost flow receives the reset
+  /// within its deadline.
   base::Duration unreachable_timeout = base::milliseconds{1000};
-  /// That another balancer has given a member up counts for this long: two of its messages, of
-  /// which one may be lost.
+  /// How long another balancer's report that a member is unreachable stays valid. The time spans
+  /// two of the balancer's messages, since one of them may be lost.
   base::Duration peer_report_ttl = base::milliseconds{2500};
-  /// A member that is known and not live is greeted more often for this long: it is starting, or
-  /// was left out by the loss of a datagram.
+  /// How long a known member that is not alive is greeted more often. It may be starting, or a lost
+  /// datagram may have left it out.
   base::Duration greet_for = base::seconds{2};
-  /// An agent whose process has started anew is told so for this long, with what it has to know of
-  /// its target until then: more than its first two heartbeats.
+  /// How long a restarted agent is told of its restart and of what it has to know about its target
+  /// from before. The time is longer than the agent's first two heartbeats.
   base::Duration restarted_for = base::seconds{5};
-  /// A member without a record that has been silent for this long is forgotten.
+  /// A member without a record is removed after it has been silent for this long.
   base::Duration forget_after = base::seconds{10};
 };
 
-/// Reports that are awaited in vain before a member is taken as gone: three may be lost.
+/// Number of greeting intervals without a report after which a member counts as not alive, so that
+/// three reports may be lost.
 inline constexpr auto kReportsMissed = 4;
 
-/// The agents that a balancer knows: from the platform's records, from other balancers, and from
-/// agents that announced themselves. Only what an agent itself reports makes it live.
+/// The agents that a balancer knows from the platform's records, from other balancers and from the
+/// agents themselves. Only an agent's own reports make it alive.
 struct View {
   ViewPolicy policy;
   std::unordered_map<Address, Member> members;
-  DrainedDomains drained;  ///< as an operator wants it
-  /// When another balancer last said that an agent's machine is out of reach.
+  DrainedDomains drained;  ///< domains that an operator has drained
+  /// When another balancer last reported that an agent's machine is unreachable.
   std::unordered_map<Address, base::TimePoint> told_out_of_reach;
-  /// Nobody is heard from: this instance itself is cut off, and nothing is known of any machine.
+  /// This instance receives nothing from anyone. It is probably disconnected itself, so it cannot
+  /// judge whether a machine is reachable.
   bool isolated = false;
-  /// Counts what makes hellos say something else: members that are new, and reports by which one
-  /// may hold flows now, or may no more; and other domains that are drained.
+  /// Counts the changes that alter the content of hellos: new members, reports that change whether
+  /// a member may hold flows, restarts, moves to another service or domain, and changes of the
+  /// drained domains.
   std::uint64_t changes = 0;
-  /// Between two hellos to a member while nothing changes; see DueGreetings.
+  /// Interval between two hellos to a member while nothing changes; see DueGreetings.
   base::Duration greet_every = base::milliseconds{250};
 };
 
-/// The platform has a record of the agent.
+/// Notes that the platform has a record of the agent; adds the agent if it is unknown.
 auto AddRecord(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void;
 
-/// The record is gone. The member stays while it reports: an agent writes its record anew.
+/// Notes that the platform's record was removed. The member stays while it reports, since an agent
+/// writes its record again.
 auto RemoveRecord(View& view, Address agent) -> void;
 
-/// Another instance named the agent. Adds it if it isn't known.
+/// Adds an agent that another instance named, unless it is known already.
 auto AddUnverified(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void;
 
-/// The agent reported. False for a report that is older than the last one of the same start.
+/// Applies an agent's report. Returns false for a report that is no newer than the last one since
+/// the same start of the agent.
 auto TakeReport(View& view, const TargetReport& report, base::TimePoint now) -> bool;
 
-/// Takes which domains are drained, where that is newer. True where they are others than before;
-/// agents are told of these as of each change.
+/// Applies the set of drained domains if it is newer. Returns true if the set has changed, which
+/// counts as a change that agents are told of.
 auto TakeDrained(View& view, const DrainedDomains& told) -> bool;
 
-/// Whether the service has a live agent that would be given openings if its domain weren't drained.
+/// Whether the service has an agent that would get openings if its domain were not drained.
 auto IsHeldBack(const View& view, base::ServiceId service, base::TimePoint now) -> bool;
 
-/// The member left an opening or a query without an answer.
+/// Marks a member as suspected because it left an opening or a query unanswered.
 auto Suspect(Member& member, base::TimePoint now) -> void;
 
-/// Drops members without a record that have been silent for long.
+/// Removes members without a record after ViewPolicy::forget_after of silence, and expired reports
+/// of unreachable agents.
 auto Forget(View& view, base::TimePoint now) -> void;
 
 auto IsAlive(const View& view, const Member& member, base::TimePoint now) -> bool;
 
-/// Whether the member has been silent and its machine out of reach for so long, counted from
-/// `running_since` at the earliest, that the flows of its target count as lost.
+/// Whether the member has been silent and its machine unreachable for so long that the flows of its
+/// target count as lost. The time counts from `running_since` at the earliest.
 auto IsOutOfReach(const View& view, const Member& member, base::TimePoint running_since,
                   base::TimePoint now) -> bool;
 
-/// Whether this instance itself has found it so.
+/// Whether this instance itself has found the member out of reach, as IsOutOfReach defines it.
 auto FoundOutOfReach(const View& view, const Member& member, base::TimePoint running_since,
                      base::TimePoint now) -> bool;
 
-/// Another balancer has given the agent up.
+/// Notes that another balancer reported the agent as unreachable.
 ///
-/// Safeguard: a balancer that starts while a failure domain is off knows nothing of it, and said
-/// for a second that agents may be away. With balancers restarted one a second no lost flow of the
-/// service was reset.
+/// Safeguard: a balancer that starts while a failure domain is down knows nothing about it and
+/// reports for a second that agents may be missing. With one balancer restarted per second, no lost
+/// flow of the service would be reset.
 auto TakeOutOfReach(View& view, Address agent, base::TimePoint now) -> void;
 
-/// Whether packets of unknown flows may find their own there.
+/// Whether the member's target may hold flows, so that it is searched for unknown flows.
 auto MayHoldFlows(const View& view, const Member& member, base::TimePoint now) -> bool;
 
-/// Whether an opening may be sent there.
+/// Whether the member is alive, ready and not suspected, so that it may receive openings.
 auto IsUsable(const View& view, const Member& member, base::TimePoint now) -> bool;
 
-/// Whether each agent of the service that has a record or has reported says itself, now, whether it
-/// may hold flows: then no flow of a live target is anywhere else. One that has been silent for
-/// ViewPolicy::silence_timeout is left out, counted from `running_since` at the earliest.
+/// Whether each agent of the service that has a record or has reported currently reports whether it
+/// may hold flows. If so, no other agent holds a flow of a live target. An agent that has been
+/// silent for ViewPolicy::silence_timeout, counted from `running_since` at the earliest, is
+/// ignored.
 ///
-/// Safeguard: a balancer that was paused finds that it has heard from nobody for long. An agent
-/// that was paused after it was left out at once, and a flow that its target held was reset.
+/// Safeguard: a balancer that was paused has had no report for long when it resumes. Without the
+/// bound by `running_since`, an agent that was paused next would be ignored at once, and a flow
+/// that its target holds would be reset.
 auto IsComplete(const View& view, base::ServiceId service, base::TimePoint running_since,
                 base::TimePoint now) -> bool;
 
-/// The first agent of the service that keeps IsComplete from being true; 0 where there is none.
+/// Returns an agent of the service because of which IsComplete is false; 0 if there is none.
 auto FirstAway(const View& view, base::ServiceId service, base::TimePoint running_since,
                base::TimePoint now) -> Address;
 
-/// Whether the member is suspected, or is not live and was known or live ViewPolicy::greet_for ago
-/// at the earliest; `running_since`: of this process, which may have slept through its reports.
+/// Whether the member is to be greeted more often: it is suspected or not alive, and it was last
+/// heard, first known or first suspected within ViewPolicy::greet_for. The time counts from
+/// `running_since` of this process at the earliest, which may have been paused during the reports.
 auto IsAwaited(const View& view, const Member& member, base::TimePoint running_since,
                base::TimePoint now) -> bool;
 
-/// Agents of a service that may hold flows, in no order: those that are alive, stay, and have a
-/// target. Where there is none, all that are known.
+/// Returns the agents of a service that may hold flows, unordered: those that are alive, are not
+/// stopping and have a target. If there is none, returns all known agents of the service.
 ///
-/// Safeguard: these are asked for flows that nobody remembers, and an agent that ends does not
-/// answer; it would be missed only when its reports are.
+/// Safeguard: these agents are queried for unknown flows. A stopping agent does not answer, and its
+/// absence would be noticed only when its reports fail to arrive.
 auto SearchSet(const View& view, base::ServiceId service, base::TimePoint now)
     -> std::vector<Place>;
 
-/// Agents of a service to which an opening may be sent, none of a domain that is drained. Where
-/// none is usable, the next best that are not known to refuse it: suspected ones, then those known
-/// only by name (which know themselves whether their domain is drained), then silent ones.
+/// Returns the agents of a service to which an opening may be sent, none of them in a drained
+/// domain. If none is usable, returns the next best agents that are not known to refuse it:
+/// suspected ones, then those that have never reported (which know themselves whether their domain
+/// is drained), then silent ones.
 ///
-/// Safeguard: a balancer that was short of processor time for a second finds that it has heard from
-/// nobody and that no opening was answered; the fault is its own, and refusing all that comes would
-/// fail requests while every target is well. An agent that cannot take an opening passes it on.
+/// Safeguard: a balancer that lacked CPU time for a second has had no report and no answer to an
+/// opening in that time. The fault is its own, and refusing all openings would fail requests while
+/// every target is healthy. An agent that cannot accept an opening passes it on.
 auto PlacementSet(const View& view, base::ServiceId service, base::TimePoint now)
     -> std::vector<Place>;
 
