--- a/src/packets/internal/balancer.cc
+++ b/src/packets/internal/balancer.cc
@@ -15,8 +15,8 @@
   return std::find(hint.tried.begin(), end, agent) != end;
 }
 
-// Requests at work for each slot. Openings that were sent since the report count as requests:
-// without them all openings between two reports would go to the agent that looked emptiest.
+// Returns the requests in progress per slot. Openings that were sent since the last report count as
+// requests; otherwise all openings between two reports would go to the agent with the lowest load.
 auto LoadOf(const BalancerPolicy& policy, const Member& member) -> double {
   const auto& report = member.report;
   auto requests = static_cast<double>(report.in_flight + member.offered) +
@@ -29,7 +29,8 @@
   return member.report.in_flight + member.offered < member.report.slots;
 }
 
-// The least loaded of the first `count` in the order; 0 where there is none.
+// Returns the least loaded of the first `count` agents in the order, with its load; the agent is 0
+// if there is none.
 auto LeastLoaded(const Balancer& balancer, std::span<const Address> order, std::size_t count)
     -> std::pair<Address, double> {
   auto best = std::pair<Address, double>{};
@@ -40,15 +41,16 @@
   return best;
 }
 
-// The least loaded of the first few, or of all where these are busy: one more hop for the packets
-// of a flow that is forgotten costs less than a request that waits.
+// Returns the least loaded of the first few agents, or of all if these are busy. If the hint of a
+// flow is lost, an extra hop for its packets costs less than a request that waits.
 auto ChooseAmong(const Balancer& balancer, std::span<const Address> order) -> Address {
   const auto near = LeastLoaded(balancer, order, balancer.policy.candidates);
   if (near.first == 0 || near.second < balancer.policy.busy_load) return near.first;
   return LeastLoaded(balancer, order, order.size()).first;
 }
 
-// An agent of the balancer's own failure domain, unless the least loaded of these has no free slot.
+// Prefers an agent in the balancer's own failure domain, unless the least loaded of the candidates
+// there has no free slot.
 auto ChooseAgent(const Balancer& balancer, const FlowId& flow, base::ServiceId service,
                  const Hint& hint, base::TimePoint now) -> Address {
   auto usable = PlacementSet(balancer.view, service, now);
@@ -63,10 +65,10 @@
   return ChooseAmong(balancer, order);
 }
 
-// An opening that is repeated went without an answer for as long as the client waits for one.
-// Safeguard: an agent or target that is gone would be given its share of all openings until its
-// reports are missed; each of them costs its client this wait. A member that has reported or
-// answered a flow since the opening is not suspected, since the packet may just have been lost.
+// A retransmitted opening was not answered within the client's retransmission time.
+// Safeguard: an agent or target that is gone would get its share of all openings until its reports
+// are missed, and each of them costs its client this wait. A member that has reported since the
+// opening is not suspected, since the packet may only have been lost.
 auto SuspectOffered(Balancer& balancer, const Hint& hint, base::TimePoint now) -> void {
   const auto entry = balancer.view.members.find(hint.agent);
   if (entry == balancer.view.members.end()) return;
@@ -76,7 +78,7 @@
   ++balancer.counters.suspicions;
 }
 
-// The flow's hint, or `forgotten` where no more are kept.
+// Returns the flow's hint, which is created if needed, or `forgotten` if the table is full.
 auto HintOf(Balancer& balancer, const FlowId& flow, Hint& forgotten) -> Hint& {
   const auto entry = balancer.hints.find(flow);
   if (entry != balancer.hints.end()) return entry->second;
@@ -92,23 +94,24 @@
   ++member.offered;
 }
 
-// Safeguard: all balancers were started again while the platform was silent, and the first agents
-// that they heard of stood in a drained domain. Refused at once, each client came back until its
-// tries were used up, a moment before the other agents were heard of; one that gets no answer
-// repeats its opening then.
+// Whether the balancer probably knows all live agents.
+// Safeguard: if all balancers restart while the platform does not answer, the first agents that
+// they hear from may be in a drained domain. Clients that are refused at once use up their retries
+// just before the other agents report; a client without an answer retransmits its opening later.
 auto MayKnowAll(const Balancer& balancer, base::TimePoint now) -> bool {
   const auto runs_for = now - balancer.stall.running_since;
   return RecordsAreFresh(balancer, now) || runs_for > balancer.policy.discovery_time;
 }
 
-// Whether an agent that the opening was offered to before may be given it once more.
+// Whether an agent that was offered the opening before may be offered it again.
 auto MayTakeCopies(const View& view, Address agent) -> bool {
   const auto entry = view.members.find(agent);
   if (entry == view.members.end()) return agent != 0;
   return !IsDrained(view.drained, entry->second.report.domain);
 }
 
-// `doubtful`: it may have waited for longer than its client did, so that a refusal proves nothing.
+// `doubtful` says that the opening may have been queued for longer than its client waited, so that
+// a refusal proves nothing.
 auto RouteOpening(Balancer& balancer, const Packet& packet, base::ServiceId service, bool doubtful,
                   base::TimePoint now) -> BalancerVerdict {
   const auto flow = FlowFromClient(packet);
@@ -136,12 +139,12 @@
   return RefuseOpening{reason};
 }
 
-// The services that may hold a flow which has opened: the one that a new flow would be sent to
-// first, then the others that its route shares its flows among, or has left a short while ago.
+// Returns the services that may hold an open flow: first the one that a new flow would go to, then
+// the other services of its route, then those that were removed from the route recently.
 //
-// Safeguard: a change of a route's services or weights puts flows that are open under another
-// service than the one that holds them. Searched there alone, they would be silent until they
-// break, though nothing but a planned change has happened.
+// Safeguard: a change of a route's services or weights assigns open flows to another service than
+// the one that holds them. Searching only there would leave these flows without an answer until
+// they break, although the change was planned.
 auto HoldersOf(const Balancer& balancer, const FlowId& flow, base::TimePoint now)
     -> std::vector<base::ServiceId> {
   auto holders = std::vector<base::ServiceId>{};
@@ -162,9 +165,9 @@
   return holders;
 }
 
-// Whether a hint is worth following: the agent is known, stands beside a target of a service that
-// may hold the flow, the target has not left, and the agent is not silent for good. One that is
-// silent for a moment keeps its flows, unless its machine cannot be reached.
+// Whether the hint's agent may still hold the flow: the agent is known, serves a service that may
+// hold the flow, its target has not left, and the agent is not permanently silent. An agent that is
+// silent for a short time keeps its flows, unless its machine is unreachable.
 auto MayStillHold(const Balancer& balancer, Address agent, std::span<const base::ServiceId> holders,
                   base::TimePoint now) -> bool {
   const auto& view = balancer.view;
@@ -177,9 +180,8 @@
   return member.listed || IsAlive(view, member, now) || member.heard == base::TimePoint{};
 }
 
-// The flow's hint, where the agent that it leads to may still hold the flow and stands beside a
-// target of the service that a new flow would be sent to: the way of almost every packet, which
-// needs no list of services.
+// Returns the flow's hint if its agent may still hold the flow and serves the service that a new
+// flow would go to. This fast path handles almost every packet and needs no list of services.
 auto FollowedHint(Balancer& balancer, const Packet& packet, base::TimePoint now) -> Hint* {
   if (packet.reset) return nullptr;
   const auto flow = FlowFromClient(packet);
@@ -229,7 +231,8 @@
   return Discard{DiscardReason::kNoRoute};
 }
 
-// What each route that stays has left, with what it had left before.
+// Records the services that the new configuration removes from each remaining route, and drops
+// expired records and those of removed routes.
 auto RecordFormerServices(Balancer& balancer, const Routes& next, base::TimePoint now) -> void {
   for (const auto& [key, shares] : balancer.routes->shares) {
     const auto stays = next.shares.find(key);
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -23,12 +23,12 @@
   return FlowNotFound{flow, reason, agent};
 }
 
-// Whether the balancer can be trusted to know of every agent that may be away.
+// Whether the balancer can be relied on to know every agent that may be missing.
 auto KnowsAllAgents(const Balancer& balancer, base::TimePoint now) -> bool {
   return RecordsAreFresh(balancer, now) && now >= balancer.stall.doubtful_until;
 }
 
-// The search has found its flow at the agent.
+// Ends the search because the flow was found at the agent.
 auto EndFound(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now) -> void {
   const auto entry = balancer.searches.flows.find(flow);
   if (!entry->second.all_agents) balancer.searches.misses = 0;
@@ -37,7 +37,7 @@
   Remember(balancer, flow, agent, now);
 }
 
-// The flow is held nowhere, as far as could be asked: is it lost?
+// Decides whether a flow that no queried target holds is lost.
 auto Conclude(Balancer& balancer, const FlowId& flow, base::TimePoint now) -> SearchOutcome {
   const auto& search = balancer.searches.flows.at(flow);
   if (!search.expects_answer) return Fail(balancer, flow, SearchFailure::kNoData);
@@ -55,8 +55,8 @@
   return lost;
 }
 
-// The agents to which the flow's packet may go, since they could not tell: those of all that were
-// asked, or of the likely ones.
+// Returns the agents that could not tell and may receive the flow's packet: all of them after a
+// query to all agents, otherwise only the likely ones if there are too many.
 auto UnsureOf(const Balancer& balancer, const QueryRound& round, std::size_t place,
               base::TimePoint now) -> std::vector<Candidate> {
   auto unsure = round.unsure[place];
@@ -70,7 +70,7 @@
   return unsure;
 }
 
-// Nobody who has answered holds the flow of the round; `unsure` could not tell.
+// Concludes a round for a flow that no answering agent holds; the agents `unsure` could not tell.
 auto ConcludeRound(Balancer& balancer, const QueryRound& round, const FlowId& flow,
                    std::vector<Candidate> unsure, base::TimePoint now) -> SearchOutcome {
   auto& search = balancer.searches.flows.at(flow);
@@ -93,7 +93,8 @@
          entry->second.round == token;
 }
 
-// An agent that does not answer is asked for a report until it does, and is taken as gone soon.
+// Suspects the agents that did not answer. They are asked for a report until they send one, and
+// soon count as not alive.
 auto SuspectSilent(Balancer& balancer, const QueryRound& round, base::TimePoint now) -> void {
   for (const auto agent : round.missing) {
     const auto member = balancer.view.members.find(agent);
@@ -102,7 +103,7 @@
   }
 }
 
-// The likely agents do not hold the flow.
+// Continues the search at all agents, since the likely ones do not hold the flow.
 auto AskAllAgents(Balancer& balancer, FlowSearch& search, base::TimePoint now) -> void {
   auto& searches = balancer.searches;
   search.all_agents = true;
@@ -112,7 +113,7 @@
   searches.all_at_once_until = now + balancer.policy.search.all_at_once_for;
 }
 
-// The round has ended: its flows are asked for of all agents, or their searches end.
+// Ends a round: for each of its flows, the search continues at all agents or is concluded.
 auto Close(Balancer& balancer, std::uint32_t token, base::TimePoint now)
     -> std::vector<SearchOutcome> {
   const auto node = balancer.searches.rounds.extract(token);
@@ -132,13 +133,13 @@
   return outcomes;
 }
 
-// Whether a flow of the round is still searched for by it.
+// Whether any flow of the round still waits for the answers.
 auto IsWanted(const Balancer& balancer, std::uint32_t token, const QueryRound& round) -> bool {
   return std::any_of(round.flows.begin(), round.flows.end(),
                      [&](const FlowId& flow) { return IsOfRound(balancer, flow, token); });
 }
 
-// Asks once more who has not answered, and ends rounds that have waited for long enough.
+// Repeats the queries to agents that have not answered, and ends the rounds that have timed out.
 auto StepRounds(Balancer& balancer, base::TimePoint now, SearchStep& step) -> void {
   const auto& policy = balancer.policy.search;
   auto ended = std::vector<std::uint32_t>{};
@@ -158,22 +159,24 @@
   }
 }
 
-// The agent's answer leaves open whether a flow that nobody holds is lost.
+// Marks the round as inconclusive: after the agent's answer, a flow that no agent holds may still
+// not be lost.
 auto MarkInconclusive(QueryRound& round, Address agent) -> void {
   if (std::exchange(round.conclusive, false)) round.inconclusive_agent = agent;
 }
 
-// Where the answer's places point to, if they point into the round.
+// Returns the flow at an index from an answer, or nullptr if the index is out of range.
 auto FlowAt(const QueryRound& round, std::uint32_t place) -> const FlowId* {
   return place < round.flows.size() ? &round.flows[place] : nullptr;
 }
 
-// The likely agents are awaited for less: the others may hold the flow.
+// Returns how long to wait for agents that were sent the packet. The wait for the likely agents is
+// shorter, since the others may hold the flow.
 auto ProbeFor(const SearchPolicy& policy, const FlowSearch& search) -> base::Duration {
   return search.all_agents ? policy.probe_timeout : policy.response_timeout;
 }
 
-// Whether enough has been heard from the agents that were sent the flow's packet.
+// Whether the wait for the agents that were sent the flow's packet is over.
 auto HasProbed(const SearchPolicy& policy, const FlowSearch& search, base::TimePoint now) -> bool {
   if (search.stage != SearchStage::kProbing) return false;
   const auto waited = now - search.probed_at;
@@ -181,10 +184,11 @@
   return waited >= ProbeFor(policy, search) || (single && waited >= policy.return_timeout);
 }
 
-// Safeguard: a target acknowledges a request with its answer, which takes longer than a packet that
-// comes back. Taken for unknown after 120 ms, flows that were being served were searched for at all
-// agents: after all processes had been started again 36,000 packets a second came back from 52
-// targets, and balancers of 0.12 of a core did nothing else.
+// Ends probing. If an agent has not returned the packet, the flow is presumed to be there.
+// Safeguard: a target acknowledges a request together with its answer, which takes longer than to
+// return a packet. If flows without an answer counted as unknown after 120 ms, flows being served
+// would be searched for at all agents. After a restart of all processes, 52 targets then returned
+// 36,000 packets per second, which used up balancers with 0.12 of a core.
 auto EndProbing(Balancer& balancer, const FlowId& flow, base::TimePoint now, SearchStep& step)
     -> void {
   auto& search = balancer.searches.flows.at(flow);
@@ -201,7 +205,7 @@
   }
 }
 
-// Asks for the flows of one set of services that are due.
+// Queries agents for the due flows of one set of services.
 auto AskForDue(Balancer& balancer, const Services& services, const std::vector<FlowId>& due,
                base::TimePoint now, SearchStep& step) -> void {
   const auto agents = AgentsOf(balancer, services, now);
@@ -211,8 +215,8 @@
   }
 }
 
-// The agent's target may hold the flow half open, and swallows its packets: the others are asked at
-// once, and its silence tells nothing.
+// Notes that the agent withheld the packet because its target may hold the flow half open and drop
+// its packets. The target's silence then proves nothing, so all agents are queried.
 auto MarkWithheld(FlowSearch& search, Address agent) -> void {
   search.withheld = agent;
   search.all_agents = true;
@@ -251,8 +255,8 @@
   if (known == searches.flows.end()) {
     search.services.assign(services.begin(), services.end());
   }
-  // A packet without data proves nothing: a target also gives back the last acknowledgement of a
-  // flow that has just ended in good order.
+  // A packet without data proves nothing: a target also returns the last acknowledgement of a flow
+  // that has just closed normally.
   if (!doubtful && (packet.payload != 0 || packet.finish)) search.expects_answer = true;
   search.acknowledged = packet.acknowledged;
   return true;
--- a/src/packets/internal/search_queries.cc
+++ b/src/packets/internal/search_queries.cc
@@ -8,7 +8,7 @@
 namespace anvildrum::packets {
 namespace {
 
-// Asks `agents` for `flows`, which are of one set of services.
+// Queries `agents` for `flows`, which all have the same set of services.
 auto Ask(Balancer& balancer, std::vector<FlowId> flows, const std::vector<Place>& agents,
          bool all_agents, base::TimePoint now, SearchStep& step) -> void {
   const auto token = ++balancer.searches.last_token;
@@ -35,7 +35,8 @@
   SendQueries(balancer, token, round, step.queries);
 }
 
-// Asks `agents` for the flows, as many in a datagram as fit, while the rate allows it.
+// Queries `agents` for the flows, with as many flows per datagram as fit, until the rate limit is
+// reached.
 auto AskInChunks(Balancer& balancer, const std::vector<FlowId>& flows,
                  const std::vector<Place>& agents, bool all_agents, base::TimePoint now,
                  SearchStep& step) -> void {
@@ -49,8 +50,8 @@
   }
 }
 
-// Few flows are asked for of their own likely agents, many of all agents of the failure domain,
-// where these are found: that takes fewer datagrams.
+// Queries the likely agents of each flow if there are few flows. For many flows, queries all agents
+// of the balancer's own failure domain if it has any, which takes fewer datagrams.
 auto AskLikely(Balancer& balancer, const std::vector<FlowId>& flows,
                const std::vector<Place>& agents, base::TimePoint now, SearchStep& step) -> void {
   auto domain = agents;
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -26,12 +26,12 @@
 
 auto PlaceOf(const Member& member) -> Place { return {member.agent, member.report.domain}; }
 
-// How promising a member is for an opening, best first.
+// Order of preference of members for an opening, best first.
 enum class Tier : std::uint8_t {
   kUsable,
-  kSuspected,  ///< reports, and left an opening without an answer
-  kUnheard,    ///< known by name only
-  kSilent,     ///< was ready when it reported last, some time ago
+  kSuspected,  ///< reports, but left an opening or a query unanswered
+  kUnheard,    ///< has never reported
+  kSilent,     ///< was ready in its last report, which is too old
 };
 
 auto TierOf(const View& view, const Member& member, base::TimePoint now) -> std::optional<Tier> {
@@ -42,7 +42,7 @@
   return IsAlive(view, member, now) ? Tier::kSuspected : Tier::kSilent;
 }
 
-// Whether the member may hold flows and does not say so now.
+// Whether the member may hold flows but does not currently report whether it does.
 auto IsAway(const View& view, const Member& member, base::TimePoint running_since,
             base::TimePoint now) -> bool {
   if (IsOutOfReach(view, member, running_since, now)) return false;
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-// An address is used again by another service while an old record of it is still on its way. The
-// agent itself knows which target it stands beside, so its report decides as long as there is one.
+// Another service may reuse an address while an old record of it is still in transit. The agent
+// itself knows the service of its target, so its report takes precedence over the record.
 auto AddRecord(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void {
   auto& member = Find(view, agent, service, now);
   member.listed = true;
