--- a/src/packets/tests/balancer_test.cc
+++ b/src/packets/tests/balancer_test.cc
@@ -19,7 +19,7 @@
 constexpr auto kDesk = base::ServiceId{11};
 constexpr auto kMapper = base::ServiceId{22};
 
-/// A balancer with a route to desk and `agents` live agents with four slots each.
+/// A balancer with a route to the service desk and `agents` live agents with four slots each.
 struct Rig {
   explicit Rig(Address agents) {
     auto routes = Routes{};
@@ -30,7 +30,7 @@
     for (auto i = Address{0}; i < agents; ++i) this->Report(kFirstAgent + i, 0);
   }
 
-  /// A version of the configuration with these shares of the route.
+  /// Applies a configuration version with these shares of the route.
   auto Configure(std::uint64_t version, std::vector<Share> shares) -> void {
     auto routes = Routes{};
     routes.version = version;
@@ -66,7 +66,7 @@
     return RoutePacket(this->balancer, packet, this->now);
   }
 
-  /// The agents that the search begins with which a packet has to await.
+  /// Returns the agents that are queried first by the search for which the packet waits.
   auto Asked(const BalancerVerdict& verdict) -> std::set<Address> {
     auto asked = std::set<Address>{};
     if (!std::holds_alternative<AwaitSearch>(verdict)) return asked;
@@ -77,7 +77,7 @@
   }
 
   Balancer balancer;
-  std::map<Address, DomainTag> domains;  ///< of agents, for their next reports
+  std::map<Address, DomainTag> domains;  ///< domains of agents for their next reports
   base::TimePoint now = kStart;
   std::uint64_t sequence = 0;
 };
@@ -96,7 +96,8 @@
   }
 }
 
-// A rig whose agents take turns in three failure domains, with the balancer in the second one.
+// Returns a rig whose agents alternate between three failure domains; the balancer is in the second
+// one.
 auto MakeRigOfDomains(Address agents) -> Rig {
   auto rig = Rig{0};
   rig.balancer.domain = 2;
@@ -107,8 +108,9 @@
   return rig;
 }
 
-// Clients' packets come by balancers of their own failure domain, and answers go from the agent to
-// the client: placed anywhere, two thirds of all bytes cross domains, which operators pay for.
+// Client packets arrive at balancers in the client's failure domain, and answers go from the agent
+// to the client. With agents chosen from all three domains, two thirds of all bytes would cross
+// domains, which costs operators money.
 BOOST_AUTO_TEST_CASE(openings_stay_in_the_balancers_domain_while_it_has_places) {
   auto rig = MakeRigOfDomains(9);
   for (auto port = std::uint16_t{1}; port <= 12; ++port) {
@@ -116,8 +118,8 @@
   }
 }
 
-// All agents of the domain are busy, those of the others idle: a request that waited for its own
-// domain would be late for nothing.
+// All agents of the balancer's domain are busy and those of the others are idle. A request that
+// waited for an agent of its own domain would be delayed needlessly.
 BOOST_AUTO_TEST_CASE(openings_leave_a_domain_whose_agents_are_busy) {
   auto rig = MakeRigOfDomains(9);
   for (const auto& [agent, domain] : rig.domains) rig.Report(agent, domain == 2 ? 4 : 0);
@@ -126,9 +128,8 @@
   }
 }
 
-// An operator sends a route's new flows to another service. A flow that is open stays where it is;
-// its packets would otherwise be offered to targets that know nothing of it until its client gives
-// up.
+// An operator sends a route's new flows to another service. An open flow must stay at its target;
+// otherwise its packets would go to targets that do not know it until its client gives up.
 BOOST_AUTO_TEST_CASE(open_flows_stay_with_a_service_that_their_route_has_left) {
   constexpr auto mapper_agent = kFirstAgent + 100;
   auto rig = Rig{3};
@@ -144,8 +145,8 @@
   BOOST_TEST((rig.Asked(rig.Data(1)) == std::set<Address>{mapper_agent}));
 }
 
-// The same for a balancer that remembers no flow of the route, or where weights have moved it:
-// every service that may hold it is searched, and that one of them does not proves nothing.
+// The same for a balancer without a hint, or when changed weights assign the flow elsewhere. Every
+// service that may hold the flow is searched, and one that does not hold it proves nothing.
 BOOST_AUTO_TEST_CASE(all_services_that_may_hold_a_forgotten_flow_are_searched) {
   constexpr auto mapper_agent = kFirstAgent + 100;
   auto rig = Rig{1};
@@ -167,8 +168,8 @@
   BOOST_TEST(std::holds_alternative<Discard>(rig.Data(1)));
 }
 
-// The flow's target left, and the agent beside it ends: a hint that is followed on would lose every
-// packet of a flow that lives elsewhere.
+// The flow's target left, and the agent beside it ends. If the hint were still followed, every
+// packet of a flow that is held elsewhere would be lost.
 BOOST_AUTO_TEST_CASE(a_hint_to_an_agent_without_a_target_is_dropped) {
   auto rig = Rig{3};
   const auto agent = AgentOf(rig.Opening(9));
@@ -179,7 +180,7 @@
   BOOST_TEST(!asked.contains(agent));
 }
 
-// The address that a flow's hint names went to another service; the flow lives elsewhere.
+// Another service has taken over the address in a flow's hint; the flow is held elsewhere.
 BOOST_AUTO_TEST_CASE(a_hint_to_an_agent_of_another_service_is_dropped) {
   auto rig = Rig{3};
   const auto agent = AgentOf(rig.Opening(9));
@@ -190,7 +191,7 @@
   BOOST_TEST(!asked.contains(agent));
 }
 
-// The agent has told that its target left, or that it is about to stop itself.
+// The agent has reported that its target left, or that the agent itself is about to stop.
 BOOST_AUTO_TEST_CASE(agents_without_a_target_or_about_to_stop_are_not_searched) {
   auto rig = Rig{3};
   rig.Report(kFirstAgent, 0, TargetState::kAbsent);
@@ -214,8 +215,9 @@
   }
 }
 
-// All openings between two reports would go to the agent that reported least: with reports 250 ms
-// apart and a hundred openings a second a target of four slots would be given 25 at once.
+// Without counting openings sent since the last report, all of them would go to the agent with the
+// lowest reported load: with reports 250 ms apart and a hundred openings per second, a target with
+// four slots would receive 25 at once.
 BOOST_AUTO_TEST_CASE(openings_between_two_reports_are_spread) {
   auto rig = Rig{3};
   rig.Report(kFirstAgent, 1);
@@ -236,8 +238,8 @@
   BOOST_TEST(AgentOf(rig.Data(held)) == kFirstAgent);
 }
 
-// An agent loses power. Its clients repeat their openings after 200 ms; before its reports are
-// missed a second later each further opening there would cost its client the same wait.
+// An agent loses power, and its clients retransmit their openings after 200 ms. Until its reports
+// are missed a second later, each further opening there would cost its client the same wait.
 BOOST_AUTO_TEST_CASE(a_repeated_opening_goes_elsewhere_and_its_agent_is_suspected) {
   auto rig = Rig{3};
   const auto silent = AgentOf(rig.Opening(1));
@@ -260,16 +262,17 @@
   BOOST_TEST(IsUsable(rig.balancer.view, rig.balancer.view.members.at(agent), rig.now));
 }
 
-// Nobody can take the opening. The client learns it at once instead of after 1.4 s, and nothing has
-// run. A copy gets no reset: an earlier one may have opened the flow by another way.
+// No agent can accept the opening. The client receives a reset at once instead of failing after
+// 1.4 s, and no request has run. A copy gets no reset, since an earlier one may have opened the
+// flow by another path.
 BOOST_AUTO_TEST_CASE(an_opening_without_any_target_is_refused_at_once_but_not_a_copy) {
   auto rig = Rig{0};
   BOOST_TEST(std::holds_alternative<RefuseOpening>(rig.Opening(1)));
   BOOST_TEST(std::holds_alternative<Discard>(rig.Opening(2, 1)));
 }
 
-// As at an agent: a balancer wakes with openings whose clients have sent copies to another one
-// since.
+// As with an agent, a balancer may resume from a pause with queued openings whose clients have
+// since sent copies to another balancer.
 BOOST_AUTO_TEST_CASE(an_opening_that_waited_while_the_balancer_stood_still_is_not_called_sole) {
   auto rig = Rig{3};
   rig.Opening(1);
@@ -284,8 +287,8 @@
   BOOST_TEST(std::get<ForwardToAgent>(fresh).stamp.refusable);
 }
 
-// The only agent that an opening was offered to has no target any more and its hint is dropped;
-// then the client's copy comes. It must go to nobody: it was sent to the address 0.0.0.0.
+// The only agent that was offered an opening no longer has a target and its hint is dropped; then
+// the client's copy arrives. It must not be forwarded: it used to be sent to the address 0.0.0.0.
 BOOST_AUTO_TEST_CASE(a_copy_whose_only_agent_is_gone_goes_nowhere) {
   auto rig = Rig{1};
   rig.Opening(1);
@@ -294,8 +297,8 @@
   BOOST_TEST(std::holds_alternative<Discard>(rig.Opening(1, 1)));
 }
 
-// A balancer that has just started has no configuration: a reset for a route that exists would be
-// an older configuration's answer.
+// A balancer that has just started has no configuration. It must not answer with a reset, since the
+// route may exist.
 BOOST_AUTO_TEST_CASE(nothing_is_refused_without_a_configuration_or_without_a_route) {
   auto rig = Rig{1};
   auto packet = Packet{.source = {1, 1}, .destination = {0xc6120009, 1}};
@@ -313,8 +316,8 @@
   BOOST_TEST(rig.balancer.routes->version == 3U);
 }
 
-// A flood of made-up flows: the table of an 80 MB machine fills up, and the process is ended. Flows
-// that are not remembered are carried all the same.
+// Without a limit, a flood of forged flows would fill the memory of an 80 MB machine, and the
+// process would be killed. Flows without a hint are still forwarded.
 BOOST_AUTO_TEST_CASE(a_flood_of_flows_fills_no_more_than_the_table) {
   auto rig = Rig{2};
   rig.balancer.policy.max_hints = 3;
--- a/src/packets/tests/frame.h
+++ b/src/packets/tests/frame.h
@@ -5,12 +5,12 @@
 
 #include "packets/drain.h"
 
-/// What a datagram has to fit into, for the tests of full messages.
+/// The largest datagram payload that fits into a frame, for the tests of full messages.
 namespace anvildrum::packets {
 
 inline constexpr auto kFrame = std::size_t{1472};  // 1,500 bytes less the headers of IP and UDP
 
-/// As many failure domains as may be drained, with the longest tags.
+/// The maximum number of drained failure domains, with the longest tags.
 inline auto MostDrained() -> std::vector<DomainTag> {
   auto drained = std::vector<DomainTag>{};
   for (auto tag = DomainTag{1}; tag <= kMostDrained; ++tag) {
--- a/src/packets/tests/lost_flows_test.cc
+++ b/src/packets/tests/lost_flows_test.cc
@@ -5,12 +5,13 @@
 #include "packets/search.h"
 #include "packets/tests/search_rig.h"
 
-// When a flow is known to be lost, and is reset.
+// Tests when a flow is known to be lost and is reset.
 namespace anvildrum::packets::search_tests {
 namespace {
 
-// All machines lost power; 200 clients go on with flows that no target knows any more. Each of them
-// is told by its first packet, and all agents are asked once for all flows that came together.
+// After all machines lost power, 200 clients continue flows that no target knows any more. The
+// first packet of each client is answered with a reset, and all agents are queried once for all
+// flows that arrived together.
 BOOST_AUTO_TEST_CASE(lost_flows_are_reset_whatever_the_number_of_agents) {
   for (const auto count : kSizes) {
     auto rig = Rig{count};
@@ -24,7 +25,7 @@
   }
 }
 
-// The same where the flow is lost: the targets give its packet back, and it is reset.
+// Targets beside restarted agents return the packet of a lost flow, and the flow is reset.
 BOOST_AUTO_TEST_CASE(a_flow_that_targets_of_young_agents_give_back_is_reset) {
   auto rig = Rig{65};
   for (const auto index : {std::size_t{3}, std::size_t{40}}) {
@@ -35,8 +36,8 @@
   BOOST_TEST(rig.probes == 2U);
 }
 
-// One target holds the flow half open and gives nothing back; its agent withholds the packet. The
-// flow may be alive elsewhere, or here: nobody can tell.
+// One target holds the flow half open and returns nothing; its agent withholds the packet. The flow
+// may be alive there or elsewhere, so it must not be reset.
 BOOST_AUTO_TEST_CASE(a_flow_that_an_agent_withholds_is_not_reset) {
   auto rig = Rig{5};
   auto& agent = rig.agents[3];
@@ -53,7 +54,7 @@
   BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kUnsettled));
 }
 
-// An agent that was not asked may hold the flow: it is away, or does not answer.
+// An agent that does not answer may hold the flow.
 BOOST_AUTO_TEST_CASE(a_flow_is_not_reset_while_an_agent_does_not_answer) {
   auto rig = Rig{65};
   rig.cut.insert(rig.agents[12].own);
@@ -65,7 +66,7 @@
   BOOST_TEST(!IsUsable(rig.balancer.view, member, rig.now));
 }
 
-// A lost datagram is not an agent that is away.
+// A lost datagram must not make an agent count as missing.
 BOOST_AUTO_TEST_CASE(an_agent_that_missed_a_question_is_asked_again) {
   auto rig = Rig{65};
   rig.Route(DataOf(9));
@@ -82,7 +83,7 @@
   BOOST_TEST(Count<FlowLost>(rig.Search()) == 1U);
 }
 
-// The agent has reported that its process ends; its target lives on beside it and holds the flow.
+// The agent has reported that its process is stopping; its target continues and holds the flow.
 BOOST_AUTO_TEST_CASE(a_flow_is_not_reset_while_an_agent_is_away) {
   auto rig = Rig{5};
   rig.agents[2].stopping = true;
@@ -92,7 +93,8 @@
   BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kUnsettled));
 }
 
-// Another balancer knows an agent that this one has not heard of; agents tell by their digest.
+// Another balancer knows an agent that this one does not know. The digests that the agents answer
+// with show it.
 BOOST_AUTO_TEST_CASE(a_flow_is_not_reset_while_another_balancer_knows_one_agent_more) {
   auto rig = Rig{5};
   auto hello = Hello{kDesk, {{kFirstAgent + 100, kDesk, 0}}, true};
@@ -108,7 +110,8 @@
   BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kUnsettled));
 }
 
-// The platform has been away for long: a new agent may have written a record that nobody has read.
+// The platform has been unreachable for long, so a new agent may have written a record that no
+// balancer has read.
 BOOST_AUTO_TEST_CASE(a_flow_is_not_reset_on_old_records) {
   auto rig = Rig{5};
   rig.balancer.records_at = rig.now - rig.balancer.policy.records_fresh_for;
@@ -116,7 +119,7 @@
   BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kAgentMissing));
 }
 
-// The balancer was paused, and wakes with the packet in its socket and old beliefs.
+// The balancer resumes from a pause with the packet in its socket and outdated state.
 BOOST_AUTO_TEST_CASE(a_flow_is_not_reset_by_a_packet_that_waited) {
   auto rig = Rig{5};
   rig.now += kStallAfter + milliseconds{1};
@@ -125,8 +128,9 @@
   BOOST_TEST((ReasonOf(rig.Search()) == SearchFailure::kNoData));
 }
 
-// A draining target ended the flow in good order and forgot it; the client's last acknowledgement
-// comes after that. The client is content; a reset would say otherwise. A FIN waits for an answer.
+// A draining target closed the flow normally and forgot it; the client's last acknowledgement
+// arrives after that. The client has succeeded, and a reset would signal a failure. A client that
+// sends a FIN expects an answer.
 BOOST_AUTO_TEST_CASE(a_packet_without_data_is_no_reason_for_a_reset) {
   auto rig = Rig{5};
   auto bare = DataOf(9);
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -14,7 +14,7 @@
 #include "packets/order.h"
 #include "packets/search.h"
 
-/// A balancer and the agents of a service, for the tests of searches.
+/// Test fixture for searches: a balancer and the agents of a service.
 namespace anvildrum::packets::search_tests {
 
 using base::milliseconds;
@@ -45,8 +45,8 @@
   return packet;
 }
 
-/// A balancer without any hint, and the real agents of a service, each beside a target that has
-/// just started. All of them know each other.
+/// A balancer without hints, and real agents of a service, each beside a target that has just
+/// started. The balancer and the agents know each other.
 struct Rig {
   explicit Rig(std::size_t count) : agents(count) {
     auto routes = Routes{};
@@ -97,11 +97,12 @@
     return RoutePacket(this->balancer, packet, this->now);
   }
 
-  /// Agents that are named here get no datagrams.
+  /// Agents that receive no datagrams.
   std::set<Address> cut;
-  /// What targets hold, though their agents may not know it.
+  /// Flows that targets hold, by agent; the agents may not know about them.
   std::set<std::pair<Address, FlowId>> held;
-  /// Of these targets hear nothing: they are at work, or hold the flow half open.
+  /// Flows about which the target beside the agent does not answer, since it is processing a
+  /// request or holds the flow half open.
   std::set<std::pair<Address, FlowId>> silent;
 
   /// Steps until all searches have ended. Every datagram arrives 1 ms later.
@@ -117,7 +118,7 @@
     return ended;
   }
 
-  /// Processes run, and the balancer says hello now and then.
+  /// Advances the time while all processes run and the balancer sends its hellos.
   auto Live(base::Duration duration) -> void {
     this->now += duration;
     this->balancer.records_at = this->now;
@@ -151,7 +152,7 @@
     }
   }
 
-  // The flow's packet goes to an agent whose target tells whether it holds the flow.
+  // Sends the flow's packet to an agent whose target shows whether it holds the flow.
   auto Probe(const FlowId& flow, Address to, std::vector<SearchOutcome>& ended) -> void {
     ++this->probes;
     auto& agent = this->agents.at(to - kFirstAgent);
@@ -196,7 +197,7 @@
   return std::get<FlowNotFound>(outcomes.front()).reason;
 }
 
-/// The place in the flow's order of the agent with this index.
+/// Returns the rank in the flow's rendezvous order of the agent with this index.
 inline auto AgentAt(const Rig& rig, std::uint16_t port, std::size_t place) -> std::size_t {
   auto places = std::vector<Place>{};
   for (const auto& agent : rig.agents) places.push_back({agent.own, 0});
--- a/src/packets/tests/search_test.cc
+++ b/src/packets/tests/search_test.cc
@@ -7,13 +7,14 @@
 
 #include "packets/tests/search_rig.h"
 
-// How a flow that its balancer does not remember is found.
+// Tests how a balancer finds a flow for which it has no hint.
 namespace anvildrum::packets::search_tests {
 namespace {
 
-// A balancer was rolled; the flow's packets come by another one, which remembers nothing. Its
-// target was the third of its order. The balancer asks a few agents, however many there are, and no
-// other target sees a packet: three packets at others and none at its own would break the flow.
+// After a rolling restart, the flow's packets arrive at another balancer, which has no hint. The
+// flow's target is the third of its order. The balancer queries only a few agents, however many
+// there are, and no other target receives a packet: three packets to other targets and none to its
+// own would break the flow.
 BOOST_AUTO_TEST_CASE(a_flow_that_nobody_remembers_is_found_by_few_questions) {
   for (const auto count : kSizes) {
     auto rig = Rig{count};
@@ -30,7 +31,7 @@
   }
 }
 
-// The opening was placed far down the order, while those before it were busy.
+// The opening was placed far down the order because the agents before were busy.
 BOOST_AUTO_TEST_CASE(a_flow_at_the_end_of_its_order_is_found_by_its_first_packet) {
   for (const auto count : kSizes) {
     auto rig = Rig{count};
@@ -43,8 +44,8 @@
   }
 }
 
-// A balancer has ended and its 500 flows come to this one. That many unknown ones are no reason to
-// ask everybody: each is found at the head of its order.
+// A balancer has ended, and its 500 flows arrive at this one. So many unknown flows must not cause
+// queries to all agents, since each flow is found at the head of its order.
 BOOST_AUTO_TEST_CASE(many_forgotten_flows_are_found_by_few_questions_each) {
   auto rig = Rig{200};
   for (auto port = std::uint16_t{1}; port <= 500; ++port) {
@@ -55,9 +56,9 @@
   BOOST_TEST(rig.queries <= 500 * SearchPolicy{}.likely);
 }
 
-// All agents were started again at once beside their targets, and none knows its flows: the packet
-// goes to the likely targets first. Sent to all 65, each packet came back from 64, and balancers
-// and agents had no time left for anything else.
+// All agents restarted at once beside their targets and know no flows, so the packet goes to the
+// likely targets first. If it went to all 65, 64 of them would return it, and balancers and agents
+// would have no time left for anything else.
 BOOST_AUTO_TEST_CASE(a_flow_among_young_agents_is_looked_for_at_the_likely_ones_first) {
   auto rig = Rig{65};
   for (auto& agent : rig.agents) agent.had_predecessor = true;
@@ -74,8 +75,8 @@
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(10))).agent == far);
 }
 
-// What a young agent's target gave back it does not hold: the client's next packet need not go
-// there again.
+// A target that returned a packet to a young agent does not hold the flow, so the client's next
+// packet need not go there again.
 BOOST_AUTO_TEST_CASE(a_flow_that_was_given_back_is_known_not_to_be_held) {
   auto rig = Rig{5};
   auto& agent = rig.agents[3];
@@ -89,8 +90,8 @@
   BOOST_TEST(rig.probes == 1U);
 }
 
-// Flows of 1,000 clients stay lost while their agents cannot be asked at once: questions are kept
-// to their rate, and packets that come meanwhile share the next ones.
+// The flows of 1,000 clients are lost, and the agents cannot be queried for all of them at once.
+// Queries stay within their rate limit, and packets that arrive in between share the next ones.
 BOOST_AUTO_TEST_CASE(questions_to_all_agents_keep_to_their_rate) {
   auto rig = Rig{200};
   auto asked = std::size_t{0};
@@ -104,14 +105,14 @@
   }
   const auto took = std::chrono::duration<double>(rig.now - begin).count();
   const auto& policy = rig.balancer.policy.search;
-  // Each agent is asked again twice before its round ends, as none answers here.
+  // Each agent is queried again twice before its round ends, since none answers here.
   const auto most = 3 * (static_cast<double>(policy.queries_per_second) * took + 200) +
                     static_cast<double>(policy.likely);
   BOOST_TEST(static_cast<double>(asked) <= most);
 }
 
-// A target lives on while the agent beside it is started again; the agent does not know its flows.
-// The flow's packet shows where it is, and goes to targets of such agents alone.
+// A target continues while the agent beside it restarts, so the agent does not know its flows. The
+// flow's packet shows where the flow is held, and goes only to targets of such agents.
 BOOST_AUTO_TEST_CASE(a_flow_beside_an_agent_that_was_started_again_is_found_by_its_packet) {
   auto rig = Rig{65};
   for (const auto index : {std::size_t{3}, std::size_t{40}}) {
@@ -125,8 +126,8 @@
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == rig.agents[40].own);
 }
 
-// A target of a young agent works on the request and answers only when it is done. The others have
-// given the packet back: it is there, and nobody else needs to be asked.
+// The target of a young agent processes the request and answers only when it is done. The others
+// have returned the packet, so the flow is there, and no other agent needs to be queried.
 BOOST_AUTO_TEST_CASE(a_flow_whose_packet_does_not_come_back_is_taken_to_be_there) {
   auto rig = Rig{65};
   for (auto& agent : rig.agents) agent.had_predecessor = true;
@@ -140,8 +141,8 @@
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == busy);
 }
 
-// The silent target held the flow half open, and its agent withholds every other packet for that.
-// The flow is open at another one, beside a young agent too: it is asked then.
+// The silent target holds the flow half open, so its agent withholds every other packet. The flow
+// is open at another target, also beside a young agent, which must be queried then.
 BOOST_AUTO_TEST_CASE(a_flow_that_was_not_where_it_was_taken_to_be_is_searched_further) {
   auto rig = Rig{65};
   for (auto& agent : rig.agents) agent.had_predecessor = true;
@@ -160,7 +161,7 @@
   BOOST_TEST(std::get<ForwardToAgent>(rig.Route(DataOf(9))).agent == holder);
 }
 
-// The hint was wrong: the agent's target gives the packet back. Its balancer searches with it.
+// The hint was wrong, and the agent's target returns the packet. The balancer starts a search.
 BOOST_AUTO_TEST_CASE(a_packet_that_was_given_back_is_searched_with) {
   auto rig = Rig{65};
   FromTarget(rig.agents[40], ReplyOf(9), rig.now);
@@ -175,7 +176,7 @@
   BOOST_TEST(std::get<FlowFound>(outcomes.front()).holder.agent == rig.agents[40].own);
 }
 
-// Meanwhile the balancer has learned where the flow is: the packet follows.
+// The balancer has learned in the meantime where the flow is, so the packet is forwarded there.
 BOOST_AUTO_TEST_CASE(a_packet_that_was_given_back_follows_what_is_known_by_then) {
   auto rig = Rig{5};
   rig.Route(DataOf(9));
@@ -186,7 +187,8 @@
   BOOST_TEST(std::get<FlowFound>(step.outcomes.front()).holder.agent == rig.agents[2].own);
 }
 
-// More searches than the table holds: their packets are dropped, and the process lives.
+// If there are more searches than the table holds, their packets are dropped, so that the process
+// does not run out of memory.
 BOOST_AUTO_TEST_CASE(a_flood_of_unknown_flows_fills_no_more_than_the_searches) {
   auto rig = Rig{5};
   rig.balancer.policy.search.max_searches = 10;
@@ -197,8 +199,8 @@
   BOOST_TEST(rig.balancer.searches.flows.size() == 10U);
 }
 
-// The agent's address went to another service while the question was on its way. A packet that
-// followed what the balancer knows of the agent by then would be taken by a target of that service.
+// Another service took over the agent's address while the query was in transit. If a packet were
+// stamped with the agent's new service, a target of that service would accept it.
 BOOST_AUTO_TEST_CASE(a_found_flow_keeps_the_service_that_was_asked_for) {
   auto rig = Rig{5};
   FromTarget(rig.agents[2], ReplyOf(9), rig.now);
@@ -220,8 +222,8 @@
   BOOST_TEST(TakeAnswer(other.balancer, moved, other.now).empty());
 }
 
-// An answer that names places beyond the question's, comes twice, or from an agent that was not
-// asked, changes nothing.
+// An answer has no effect if its indices are out of the query's range, if it is a duplicate, or if
+// it is from an agent that was not queried.
 BOOST_AUTO_TEST_CASE(answers_that_cannot_be_are_left_out) {
   auto rig = Rig{65};
   rig.Route(DataOf(9));
--- a/src/packets/tests/view_test.cc
+++ b/src/packets/tests/view_test.cc
@@ -28,12 +28,13 @@
   auto view = View{};
   AddRecord(view, kAgent, kDesk, kStart);
   BOOST_TEST(!IsUsable(view, view.members.at(kAgent), kStart));
-  // A balancer that has just started offers openings there all the same.
+  // A balancer that has just started still offers openings to the agent.
   BOOST_TEST(PlacementSet(view, kDesk, kStart).size() == 1U);
 }
 
-// An address is used again by another service. The old record is read after the new agent's report:
-// a flow of desk would be offered to mapper's agent, and its client would wait for nothing.
+// Another service reuses an address, and the old record is read after the new agent's report. If
+// the record took precedence, a flow of desk would be offered to mapper's agent, and its client
+// would wait in vain.
 BOOST_AUTO_TEST_CASE(an_old_record_does_not_change_the_service_that_an_agent_reports) {
   auto view = View{};
   TakeReport(view, ReportOf(kMapper, 7, 1), kStart);
@@ -67,8 +68,8 @@
   BOOST_TEST(SearchSet(view, kDesk, later).size() == 1U);
 }
 
-// A balancer on a small machine reads a large configuration for a second. Then all agents seem
-// silent and all openings of that second unanswered; refused, their clients fail for nothing.
+// A balancer on a small machine parses a large configuration for a second. All agents then seem
+// silent and all openings of that second unanswered. Refusing them would fail clients needlessly.
 BOOST_AUTO_TEST_CASE(where_all_are_suspected_or_silent_openings_still_go_somewhere) {
   auto view = View{};
   TakeReport(view, ReportOf(kDesk, 7, 1), kStart);
@@ -111,8 +112,8 @@
   BOOST_TEST(!IsComplete(view, kDesk, long_silent - seconds{1}, long_silent));  // it was paused
 }
 
-// A balancer has started after a loss of power and knows agents by their records. One that does not
-// answer yet is asked again soon, but not for ever: its instance may be gone.
+// A balancer has started after a loss of power and knows agents by their records. An agent that
+// does not answer yet is greeted again soon, but not for ever, since its instance may be gone.
 BOOST_AUTO_TEST_CASE(members_that_are_silent_are_asked_again_for_a_while) {
   auto view = View{};
   AddRecord(view, kAgent, kDesk, kStart);
@@ -127,8 +128,8 @@
   BOOST_TEST(!awaited(later, later));
 }
 
-// An opening went without an answer. Was it the agent, it is to be given no further one; was it a
-// lost packet, the agent says so within a round trip.
+// An opening was not answered. If the agent failed, it must get no further opening; if only a
+// packet was lost, the agent reports within a round trip.
 BOOST_AUTO_TEST_CASE(a_suspected_member_is_asked_until_it_reports_or_is_taken_as_gone) {
   auto view = View{};
   TakeReport(view, ReportOf(kDesk, 7, 1), kStart);
@@ -139,14 +140,14 @@
   BOOST_TEST(!IsUsable(view, member, kStart));
   BOOST_TEST(IsAlive(view, member, kStart + view.policy.suspect_timeout));
   const auto gone = kStart + view.policy.suspect_timeout + milliseconds{1};
-  Suspect(member, gone);  // by another opening: it has been silent since the first
+  Suspect(member, gone);  // another opening; the agent has been silent since the first
   BOOST_TEST(!IsAlive(view, member, gone));
   TakeReport(view, ReportOf(kDesk, 7, 2), gone);
   BOOST_TEST(IsUsable(view, member, gone));
 }
 
-// Whatever changes which agents may hold flows is told at once; reports that say the same are not
-// worth a message to every agent.
+// Any change of which agents may hold flows is announced at once; a report without such a change
+// does not cause a message to every agent.
 BOOST_AUTO_TEST_CASE(changes_that_hellos_tell_of_are_counted) {
   auto view = View{};
   auto before = view.changes;
@@ -163,7 +164,7 @@
   BOOST_TEST(changed());
   TakeReport(view, ReportOf(kDesk, 8, 1), kStart);
   BOOST_TEST(changed());
-  TakeReport(view, ReportOf(kDesk, 9, 1), kStart);  // its process was killed, and is back at once
+  TakeReport(view, ReportOf(kDesk, 9, 1), kStart);  // the process was killed and has restarted
   BOOST_TEST(changed());
 }
 
