--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -248,7 +248,7 @@
     packets::TakeOutOfReach(this->core.view, agent, now);
   }
   for (const auto& peer : hello.peers) {
-    packets::AddHearsay(this->core.view, peer.agent, peer.service, now);
+    packets::AddUnverified(this->core.view, peer.agent, peer.service, now);
   }
   const auto knows_agents = !hello.listed || !hello.peers.empty();
   if (!is_new && knows_agents) return;
@@ -416,7 +416,7 @@
       {{"openings", counters.openings - this->logged_counters.openings},
        {"copies", counters.copies - this->logged_counters.copies},
        {"forwarded", counters.forwarded - this->logged_counters.forwarded},
-       {"searched", counters.unhinted - this->logged_counters.unhinted},
+       {"searched", counters.hint_misses - this->logged_counters.hint_misses},
        {"no_route", counters.no_route - this->logged_counters.no_route},
        {"no_target", counters.no_target - this->logged_counters.no_target},
        {"refused", counters.refused - this->logged_counters.refused},
--- a/src/packetd/internal/flow_searcher.cc
+++ b/src/packetd/internal/flow_searcher.cc
@@ -25,20 +25,20 @@
 auto FlowSearcher::OnProbeBack(const packets::FlowId& flow, const packets::GivenBack& given_back,
                                base::TimePoint now) -> void {
   this->Apply(
-      packets::TakeProbeBack(this->core, flow, given_back.agent, given_back.by_target, now));
+      packets::HandleReturnedProbe(this->core, flow, given_back.agent, given_back.by_target, now));
 }
 
 auto FlowSearcher::OnGivenBack(const packets::GivenBack& given_back, const packets::Packet& packet,
                                base::TimePoint now) -> void {
-  const auto step =
-      packets::TakeGivenBack(this->core, packet, given_back.agent, given_back.by_target, now);
+  const auto step = packets::HandleReturnedPacket(this->core, packet, given_back.agent,
+                                                  given_back.by_target, now);
   const auto& datagram = std::get<std::vector<std::uint8_t>>(given_back.packet);
   if (step.keep) this->Await(packets::FlowFromClient(packet), datagram);
   this->Apply(step.outcomes);
 }
 
 auto FlowSearcher::OnLocated(const packets::Located& located, base::TimePoint now) -> void {
-  if (!packets::TakeLocated(this->core, located.flow, located.agent, now)) return;
+  if (!packets::HandleFlowLocated(this->core, located.flow, located.agent, now)) return;
   const auto member = this->core.view.members.find(located.agent);
   if (member == this->core.view.members.end()) return this->held.Drop(located.flow);
   const auto holder = packets::Candidate{located.agent, member->second.service};
--- a/src/packets/internal/agent.cc
+++ b/src/packets/internal/agent.cc
@@ -23,7 +23,7 @@
   if (drained && !HasSettled(agent, now)) return Discard{DiscardReason::kDrained};
   if (!packet.stamp.refusable) return Discard{DiscardReason::kMayBeOpen};
   ++agent.counters.refused;
-  return RefuseOpening{DiscardReason::kNoneTook};
+  return RefuseOpening{DiscardReason::kNotAccepted};
 }
 
 // Forwards an opening to the next agent in its flow's order. The stamp counts the forwarding hops,
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -23,29 +23,30 @@
   return FlowNotFound{flow, reason, agent};
 }
 
-// Whether the balancer can be trusted to know of every agent that may be away.
+// Whether the balancer can be relied on to know every agent that may be missing.
 auto KnowsAllAgents(const Balancer& balancer, base::TimePoint now) -> bool {
   return RecordsAreFresh(balancer, now) && now >= balancer.stall.doubtful_until;
 }
 
-// The search has found its flow at the agent.
+// Ends the search because the flow was found at the agent.
 auto EndFound(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now) -> void {
   const auto entry = balancer.searches.flows.find(flow);
-  if (!entry->second.everybody) balancer.searches.misses = 0;
+  if (!entry->second.all_agents) balancer.searches.misses = 0;
   balancer.searches.flows.erase(entry);
   ++balancer.counters.found;
   Remember(balancer, flow, agent, now);
 }
 
-// The flow is held nowhere, as far as could be asked: is it lost?
+// Decides whether a flow that no queried target holds is lost.
 auto Conclude(Balancer& balancer, const FlowId& flow, base::TimePoint now) -> SearchOutcome {
   const auto& search = balancer.searches.flows.at(flow);
   if (!search.expects_answer) return Fail(balancer, flow, SearchFailure::kNoData);
-  if (!search.proves) return Fail(balancer, flow, SearchFailure::kUnsettled, search.doubter);
+  if (!search.conclusive)
+    return Fail(balancer, flow, SearchFailure::kUnsettled, search.inconclusive_agent);
   const auto away =
       FirstAway(balancer.view, search.services.front(), balancer.stall.running_since, now);
   if (away != 0 || !KnowsAllAgents(balancer, now)) {
-    return Fail(balancer, flow, SearchFailure::kSomeAway, away);
+    return Fail(balancer, flow, SearchFailure::kAgentMissing, away);
   }
   const auto lost = FlowLost{flow, search.acknowledged};
   balancer.searches.flows.erase(flow);
@@ -54,12 +55,12 @@
   return lost;
 }
 
-// The agents to which the flow's packet may go, since they could not tell: those of all that were
-// asked, or of the likely ones.
+// Returns the agents that could not tell and may receive the flow's packet: all of them after a
+// query to all agents, otherwise only the likely ones if there are too many.
 auto UnsureOf(const Balancer& balancer, const QueryRound& round, std::size_t place,
               base::TimePoint now) -> std::vector<Candidate> {
   auto unsure = round.unsure[place];
-  if (round.everybody || unsure.size() <= balancer.policy.search.likely) return unsure;
+  if (round.all_agents || unsure.size() <= balancer.policy.search.likely) return unsure;
   const auto agents = AgentsOf(balancer, round.services, now);
   const auto likely = LikelyAgents(balancer, round.flows[place], agents);
   std::erase_if(unsure, [&](const Candidate& candidate) {
@@ -69,12 +70,13 @@
   return unsure;
 }
 
-// Nobody who has answered holds the flow of the round; `unsure` could not tell.
+// Concludes a round for a flow that no answering agent holds; the agents `unsure` could not tell.
 auto ConcludeRound(Balancer& balancer, const QueryRound& round, const FlowId& flow,
                    std::vector<Candidate> unsure, base::TimePoint now) -> SearchOutcome {
   auto& search = balancer.searches.flows.at(flow);
-  search.proves = round.proves && round.missing.empty();
-  search.doubter = round.missing.empty() ? round.doubter : round.missing.front();
+  search.conclusive = round.conclusive && round.missing.empty();
+  search.inconclusive_agent =
+      round.missing.empty() ? round.inconclusive_agent : round.missing.front();
   search.probed = std::move(unsure);
   if (search.probed.empty() && !round.missing.empty()) {
     return Fail(balancer, flow, SearchFailure::kNoAnswer, round.missing.front());
@@ -91,7 +93,8 @@
          entry->second.round == token;
 }
 
-// An agent that does not answer is asked for a report until it does, and is taken as gone soon.
+// Suspects the agents that did not answer. They are asked for a report until they send one, and
+// soon count as not alive.
 auto SuspectSilent(Balancer& balancer, const QueryRound& round, base::TimePoint now) -> void {
   for (const auto agent : round.missing) {
     const auto member = balancer.view.members.find(agent);
@@ -100,17 +103,17 @@
   }
 }
 
-// The likely agents do not hold the flow.
-auto AskTheRest(Balancer& balancer, FlowSearch& search, base::TimePoint now) -> void {
+// Continues the search at all agents, since the likely ones do not hold the flow.
+auto AskAllAgents(Balancer& balancer, FlowSearch& search, base::TimePoint now) -> void {
   auto& searches = balancer.searches;
-  search.everybody = true;
+  search.all_agents = true;
   search.stage = SearchStage::kDue;
   if (++searches.misses < balancer.policy.search.misses) return;
   searches.misses = 0;
   searches.all_at_once_until = now + balancer.policy.search.all_at_once_for;
 }
 
-// The round has ended: its flows are asked for of all agents, or their searches end.
+// Ends a round: for each of its flows, the search continues at all agents or is concluded.
 auto Close(Balancer& balancer, std::uint32_t token, base::TimePoint now)
     -> std::vector<SearchOutcome> {
   const auto node = balancer.searches.rounds.extract(token);
@@ -121,8 +124,8 @@
     const auto& flow = round.flows[place];
     if (!IsOfRound(balancer, flow, token)) continue;
     auto unsure = UnsureOf(balancer, round, place, now);
-    if (!round.everybody && unsure.empty()) {
-      AskTheRest(balancer, balancer.searches.flows.at(flow), now);
+    if (!round.all_agents && unsure.empty()) {
+      AskAllAgents(balancer, balancer.searches.flows.at(flow), now);
     } else {
       outcomes.push_back(ConcludeRound(balancer, round, flow, std::move(unsure), now));
     }
@@ -130,21 +133,21 @@
   return outcomes;
 }
 
-// Whether a flow of the round is still searched for by it.
+// Whether any flow of the round still waits for the answers.
 auto IsWanted(const Balancer& balancer, std::uint32_t token, const QueryRound& round) -> bool {
   return std::any_of(round.flows.begin(), round.flows.end(),
                      [&](const FlowId& flow) { return IsOfRound(balancer, flow, token); });
 }
 
-// Asks once more who has not answered, and ends rounds that have waited for long enough.
+// Repeats the queries to agents that have not answered, and ends the rounds that have timed out.
 auto StepRounds(Balancer& balancer, base::TimePoint now, SearchStep& step) -> void {
   const auto& policy = balancer.policy.search;
   auto ended = std::vector<std::uint32_t>{};
   for (auto& [token, round] : balancer.searches.rounds) {
-    const auto wait = round.everybody ? policy.answer_within : policy.ask_again;
+    const auto wait = round.all_agents ? policy.response_timeout : policy.retry_after;
     if (now - round.asked_at >= wait || !IsWanted(balancer, token, round)) {
       ended.push_back(token);
-    } else if (now - round.sent_at >= policy.ask_again) {
+    } else if (now - round.sent_at >= policy.retry_after) {
       round.sent_at = now;
       balancer.counters.queries += round.missing.size();
       SendQueries(balancer, token, round, step.queries);
@@ -156,33 +159,36 @@
   }
 }
 
-// The agent's answer leaves open whether a flow that nobody holds is lost.
-auto Doubt(QueryRound& round, Address agent) -> void {
-  if (std::exchange(round.proves, false)) round.doubter = agent;
+// Marks the round as inconclusive: after the agent's answer, a flow that no agent holds may still
+// not be lost.
+auto MarkInconclusive(QueryRound& round, Address agent) -> void {
+  if (std::exchange(round.conclusive, false)) round.inconclusive_agent = agent;
 }
 
-// Where the answer's places point to, if they point into the round.
+// Returns the flow at an index from an answer, or nullptr if the index is out of range.
 auto FlowAt(const QueryRound& round, std::uint32_t place) -> const FlowId* {
   return place < round.flows.size() ? &round.flows[place] : nullptr;
 }
 
-// The likely agents are awaited for less: the others may hold the flow.
+// Returns how long to wait for agents that were sent the packet. The wait for the likely agents is
+// shorter, since the others may hold the flow.
 auto ProbeFor(const SearchPolicy& policy, const FlowSearch& search) -> base::Duration {
-  return search.everybody ? policy.probe_for : policy.answer_within;
+  return search.all_agents ? policy.probe_timeout : policy.response_timeout;
 }
 
-// Whether enough has been heard from the agents that were sent the flow's packet.
+// Whether the wait for the agents that were sent the flow's packet is over.
 auto HasProbed(const SearchPolicy& policy, const FlowSearch& search, base::TimePoint now) -> bool {
   if (search.stage != SearchStage::kProbing) return false;
   const auto waited = now - search.probed_at;
   const auto single = search.probed.size() == 1 && search.probed.front().agent != search.withheld;
-  return waited >= ProbeFor(policy, search) || (single && waited >= policy.bounce_within);
+  return waited >= ProbeFor(policy, search) || (single && waited >= policy.return_timeout);
 }
 
-// Safeguard: a target acknowledges a request with its answer, which takes longer than a packet that
-// comes back. Taken for unknown after 120 ms, flows that were being served were searched for at all
-// agents: after all processes had been started again 36,000 packets a second came back from 52
-// targets, and balancers of 0.12 of a core did nothing else.
+// Ends probing. If an agent has not returned the packet, the flow is presumed to be there.
+// Safeguard: a target acknowledges a request together with its answer, which takes longer than to
+// return a packet. If flows without an answer counted as unknown after 120 ms, flows being served
+// would be searched for at all agents. After a restart of all processes, 52 targets then returned
+// 36,000 packets per second, which used up balancers with 0.12 of a core.
 auto EndProbing(Balancer& balancer, const FlowId& flow, base::TimePoint now, SearchStep& step)
     -> void {
   auto& search = balancer.searches.flows.at(flow);
@@ -192,14 +198,14 @@
   if (holder != search.probed.end()) {
     EndFound(balancer, flow, holder->agent, now);
     step.outcomes.emplace_back(FlowPresumed{flow});
-  } else if (search.everybody) {
+  } else if (search.all_agents) {
     step.outcomes.push_back(Fail(balancer, flow, SearchFailure::kMayBeHeld));
   } else {
-    AskTheRest(balancer, search, now);
+    AskAllAgents(balancer, search, now);
   }
 }
 
-// Asks for the flows of one set of services that are due.
+// Queries agents for the due flows of one set of services.
 auto AskForDue(Balancer& balancer, const Services& services, const std::vector<FlowId>& due,
                base::TimePoint now, SearchStep& step) -> void {
   const auto agents = AgentsOf(balancer, services, now);
@@ -209,11 +215,11 @@
   }
 }
 
-// The agent's target may hold the flow half open, and swallows its packets: the others are asked at
-// once, and its silence tells nothing.
-auto Withhold(FlowSearch& search, Address agent) -> void {
+// Notes that the agent withheld the packet because its target may hold the flow half open and drop
+// its packets. The target's silence then proves nothing, so all agents are queried.
+auto MarkWithheld(FlowSearch& search, Address agent) -> void {
   search.withheld = agent;
-  search.everybody = true;
+  search.all_agents = true;
 }
 
 }  // namespace
@@ -226,7 +232,7 @@
       return "not found, an agent did not answer";
     case SearchFailure::kUnsettled:
       return "not found, agents not settled";
-    case SearchFailure::kSomeAway:
+    case SearchFailure::kAgentMissing:
       return "not found, an agent is away";
     case SearchFailure::kNoData:
       return "not found, no data";
@@ -241,15 +247,16 @@
   auto& searches = balancer.searches;
   const auto flow = FlowFromClient(packet);
   const auto known = searches.flows.find(flow);
-  if (known == searches.flows.end() && searches.flows.size() >= balancer.policy.search.most) {
+  if (known == searches.flows.end() &&
+      searches.flows.size() >= balancer.policy.search.max_searches) {
     return false;
   }
   auto& search = known == searches.flows.end() ? searches.flows[flow] : known->second;
   if (known == searches.flows.end()) {
     search.services.assign(services.begin(), services.end());
   }
-  // A packet without data proves nothing: a target also gives back the last acknowledgement of a
-  // flow that has just ended in good order.
+  // A packet without data proves nothing: a target also returns the last acknowledgement of a flow
+  // that has just closed normally.
   if (!doubtful && (packet.payload != 0 || packet.finish)) search.expects_answer = true;
   search.acknowledged = packet.acknowledged;
   return true;
@@ -277,11 +284,11 @@
   const auto place = std::lower_bound(round.missing.begin(), round.missing.end(), answer.agent);
   if (place == round.missing.end() || *place != answer.agent) return {};
   round.missing.erase(place);
-  if (!answer.settled || answer.peers_digest != round.digest) Doubt(round, answer.agent);
+  if (!answer.settled || answer.peers_digest != round.digest) MarkInconclusive(round, answer.agent);
   const auto candidate = Candidate{answer.agent, answer.service};
   const auto asked_for = std::find(round.services.begin(), round.services.end(), answer.service) !=
                          round.services.end();
-  if (!asked_for) Doubt(round, answer.agent);
+  if (!asked_for) MarkInconclusive(round, answer.agent);
   for (const auto unsure : answer.unsure) {
     if (FlowAt(round, unsure) == nullptr || !asked_for) continue;
     round.unsure[unsure].push_back(candidate);
@@ -299,7 +306,7 @@
   return outcomes;
 }
 
-auto TakeLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
+auto HandleFlowLocated(Balancer& balancer, const FlowId& flow, Address agent, base::TimePoint now)
     -> bool {
   const auto& flows = balancer.searches.flows;
   const auto entry = flows.find(flow);
@@ -312,8 +319,8 @@
   return probed;
 }
 
-auto TakeProbeBack(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
-                   base::TimePoint now) -> std::vector<SearchOutcome> {
+auto HandleReturnedProbe(Balancer& balancer, const FlowId& flow, Address agent, bool by_target,
+                         base::TimePoint now) -> std::vector<SearchOutcome> {
   const auto entry = balancer.searches.flows.find(flow);
   if (entry == balancer.searches.flows.end()) return {};
   auto& search = entry->second;
@@ -321,23 +328,23 @@
   const auto left = std::erase_if(
       search.probed, [&](const Candidate& candidate) { return candidate.agent == agent; });
   if (left != 0 && !by_target) {
-    search.proves = false;
-    search.doubter = agent;
+    search.conclusive = false;
+    search.inconclusive_agent = agent;
   }
   if (left == 0 || !search.probed.empty()) return {};
-  if (search.everybody) return {Conclude(balancer, flow, now)};
-  AskTheRest(balancer, search, now);
+  if (search.all_agents) return {Conclude(balancer, flow, now)};
+  AskAllAgents(balancer, search, now);
   return {};
 }
 
-auto TakeGivenBack(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
-                   base::TimePoint now) -> GivenBackStep {
+auto HandleReturnedPacket(Balancer& balancer, const Packet& packet, Address agent, bool by_target,
+                          base::TimePoint now) -> ReturnedPacketStep {
   const auto flow = FlowFromClient(packet);
   const auto hint = balancer.hints.find(flow);
   if (hint != balancer.hints.end() && hint->second.agent == agent) hint->second.agent = 0;
   const auto verdict = RoutePacket(balancer, packet, now);
   if (std::holds_alternative<AwaitSearch>(verdict)) {
-    if (!by_target) Withhold(balancer.searches.flows.at(flow), agent);
+    if (!by_target) MarkWithheld(balancer.searches.flows.at(flow), agent);
     return {true, {}};
   }
   const auto* forward = std::get_if<ForwardToAgent>(&verdict);
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -26,12 +26,12 @@
 
 auto PlaceOf(const Member& member) -> Place { return {member.agent, member.report.domain}; }
 
-// How promising a member is for an opening, best first.
+// Order of preference of members for an opening, best first.
 enum class Tier : std::uint8_t {
   kUsable,
-  kSuspected,  ///< reports, and left an opening without an answer
-  kUnheard,    ///< known by name only
-  kSilent,     ///< was ready when it reported last, some time ago
+  kSuspected,  ///< reports, but left an opening or a query unanswered
+  kUnheard,    ///< has never reported
+  kSilent,     ///< was ready in its last report, which is too old
 };
 
 auto TierOf(const View& view, const Member& member, base::TimePoint now) -> std::optional<Tier> {
@@ -42,7 +42,7 @@
   return IsAlive(view, member, now) ? Tier::kSuspected : Tier::kSilent;
 }
 
-// Whether the member may hold flows and does not say so now.
+// Whether the member may hold flows but does not currently report whether it does.
 auto IsAway(const View& view, const Member& member, base::TimePoint running_since,
             base::TimePoint now) -> bool {
   if (IsOutOfReach(view, member, running_since, now)) return false;
@@ -50,14 +50,14 @@
   const auto counts =
       member.report.state != TargetState::kAbsent && (member.listed || WasHeard(member));
   const auto stopping = member.report.state == TargetState::kStopping;
-  const auto away_for = stopping ? view.policy.back_after : view.policy.gone_after;
+  const auto away_for = stopping ? view.policy.restart_timeout : view.policy.silence_timeout;
   return counts && !MayHoldFlows(view, member, now) && now - last <= away_for;
 }
 
 }  // namespace
 
-// An address is used again by another service while an old record of it is still on its way. The
-// agent itself knows which target it stands beside, so its report decides as long as there is one.
+// Another service may reuse an address while an old record of it is still in transit. The agent
+// itself knows the service of its target, so its report takes precedence over the record.
 auto AddRecord(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void {
   auto& member = Find(view, agent, service, now);
   member.listed = true;
@@ -69,7 +69,8 @@
   if (entry != view.members.end()) entry->second.listed = false;
 }
 
-auto AddHearsay(View& view, Address agent, base::ServiceId service, base::TimePoint now) -> void {
+auto AddUnverified(View& view, Address agent, base::ServiceId service, base::TimePoint now)
+    -> void {
   Find(view, agent, service, now);
 }
 
@@ -110,7 +111,7 @@
 
 auto Forget(View& view, base::TimePoint now) -> void {
   std::erase_if(view.told_out_of_reach,
-                [&](const auto& told) { return now - told.second > view.policy.told_for; });
+                [&](const auto& told) { return now - told.second > view.policy.peer_report_ttl; });
   std::erase_if(view.members, [&](const auto& entry) {
     const auto& member = entry.second;
     const auto last = WasHeard(member) ? member.heard : member.known_since;
@@ -119,9 +120,9 @@
 }
 
 auto IsAlive(const View& view, const Member& member, base::TimePoint now) -> bool {
-  if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_for) return false;
-  const auto alive_for = std::max(view.policy.alive_for, kReportsMissed * view.greet_every);
-  return WasHeard(member) && now - member.heard <= alive_for;
+  if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_timeout) return false;
+  const auto alive_timeout = std::max(view.policy.alive_timeout, kReportsMissed * view.greet_every);
+  return WasHeard(member) && now - member.heard <= alive_timeout;
 }
 
 auto IsUsable(const View& view, const Member& member, base::TimePoint now) -> bool {
@@ -134,7 +135,7 @@
   if (view.isolated || IsAlive(view, member, now)) return false;
   const auto told = view.told_out_of_reach.find(member.agent);
   const auto was_told = told != view.told_out_of_reach.end() &&
-                        now - told->second < view.policy.told_for &&
+                        now - told->second < view.policy.peer_report_ttl &&
                         told->second > std::max(member.heard, member.reached_at);
   return was_told || FoundOutOfReach(view, member, running_since, now);
 }
@@ -143,7 +144,8 @@
                      base::TimePoint now) -> bool {
   const auto last = std::max({member.heard, member.known_since, running_since});
   const auto out_of_reach = !view.isolated && member.unreachable_at > last;
-  return out_of_reach && now - last > view.policy.unreachable_for && !IsAlive(view, member, now);
+  return out_of_reach && now - last > view.policy.unreachable_timeout &&
+         !IsAlive(view, member, now);
 }
 
 auto TakeOutOfReach(View& view, Address agent, base::TimePoint now) -> void {
--- a/src/packets/tests/drain_test.cc
+++ b/src/packets/tests/drain_test.cc
@@ -24,7 +24,7 @@
     auto routes = Routes{};
     routes.version = 1;
     routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-    PutInForce(this->balancer, routes, kStart);
+    ApplyRoutes(this->balancer, routes, kStart);
     this->balancer.records_at = kStart;
     for (auto i = Address{0}; i < 2 * kAgentsInDomain; ++i) this->Report(i);
   }
@@ -117,7 +117,7 @@
   BOOST_TEST(std::holds_alternative<RefuseOpening>(fixture.Open(2)));
   fixture.balancer.records_at = {};
   fixture.balancer.stall.running_since =
-      kStart - fixture.balancer.policy.hears_all_after - milliseconds{1};
+      kStart - fixture.balancer.policy.discovery_time - milliseconds{1};
   BOOST_TEST(std::holds_alternative<RefuseOpening>(fixture.Open(3)));
 }
 
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -329,7 +329,7 @@
   for (const auto balancer : BalancersOf(agent.core, origin)) {
     const auto index = balancer - kFirstBalancer;
     this->ToBalancerCore(index, [this, index, flow, own = agent.core.own](auto& core) {
-      if (!TakeLocated(core, flow, own, this->now)) return;
+      if (!HandleFlowLocated(core, flow, own, this->now)) return;
       this->Apply(index, {FlowFound{flow, {own, kDesk}}});
     });
   }
@@ -341,9 +341,9 @@
     this->ToBalancerCore(index, [this, index, packet, by_target, own = agent.core.own](auto& core) {
       if (packet.stamp.refusable) {
         const auto flow = FlowFromClient(packet);
-        return this->Apply(index, TakeProbeBack(core, flow, own, by_target, this->now));
+        return this->Apply(index, HandleReturnedProbe(core, flow, own, by_target, this->now));
       }
-      const auto step = TakeGivenBack(core, packet, own, by_target, this->now);
+      const auto step = HandleReturnedPacket(core, packet, own, by_target, this->now);
       if (step.keep) this->Await(index, packet);
       this->Apply(index, step.outcomes);
     });
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -87,10 +87,10 @@
     const auto began = kStart + kSilentFor + kTick;
     rig.DueAt(began);
     RecordProbeResult(rig.view, kAgent, began, answered);
-    const auto soon = kStart + rig.view.policy.unreachable_for;
+    const auto soon = kStart + rig.view.policy.unreachable_timeout;
     rig.DueAt(soon + kTick);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon + kTick) != answered);
-    const auto late = kStart + rig.view.policy.gone_after + kTick;
+    const auto late = kStart + rig.view.policy.silence_timeout + kTick;
     rig.DueAt(late);
     BOOST_TEST(IsComplete(rig.view, kDesk, kStart, late));
   }
@@ -106,7 +106,7 @@
   const auto began = kStart + kSilentFor + kTick;
   BOOST_TEST((rig.DueAt(began) == std::vector{gone}));
   RecordProbeResult(rig.view, gone, began, false);
-  const auto soon = kStart + rig.view.policy.unreachable_for + kTick;
+  const auto soon = kStart + rig.view.policy.unreachable_timeout + kTick;
   rig.DueAt(soon);
   BOOST_TEST(IsComplete(rig.view, kDesk, kStart, soon));
 }
@@ -117,7 +117,7 @@
   rig.DueAt(began);
   RecordProbeResult(rig.view, kAgent, began, false);
   rig.Report(kAgent, began + milliseconds{100});
-  const auto later = began + milliseconds{100} + rig.view.policy.unreachable_for + kTick;
+  const auto later = began + milliseconds{100} + rig.view.policy.unreachable_timeout + kTick;
   rig.DueAt(later);
   BOOST_TEST(!IsOutOfReach(rig.view, rig.view.members.at(kAgent), kStart, later));
 }
@@ -153,7 +153,7 @@
   BOOST_TEST(OutOfReach(rig.view, kStart, kStart + kTick).empty());
   // The balancer waits for the agent again once it is no longer told that the agent is unreachable,
   // or once the agent answers the balancer's own probe.
-  const auto later = kStart + rig.view.policy.told_for + milliseconds{2};
+  const auto later = kStart + rig.view.policy.peer_report_ttl + milliseconds{2};
   rig.Report(kAgent, later);
   rig.Report(kOther, later);
   BOOST_TEST(!IsComplete(rig.view, kDesk, kStart, later));
@@ -186,18 +186,18 @@
   auto routes = Routes{};
   routes.version = 1;
   routes.shares[KeyOf(kRoute)] = {{kDesk, 1}};
-  PutInForce(balancer, routes, kStart);
+  ApplyRoutes(balancer, routes, kStart);
   auto rig = Rig{};
   balancer.view = rig.view;
   auto packet = Packet{.source = {0x64400007, 1}, .destination = kRoute};
   packet.acknowledge = true;
   packet.payload = 10;
-  TakeLocated(balancer, FlowFromClient(packet), kAgent, kStart);
+  HandleFlowLocated(balancer, FlowFromClient(packet), kAgent, kStart);
   NoteEvent(balancer.stall, kStart);
   balancer.hints[FlowFromClient(packet)] = {.agent = kAgent, .seen = kStart, .opened = true};
   const auto began = kStart + kSilentFor + kTick;
   RecordProbeResult(balancer.view, kAgent, began, false);
-  const auto later = kStart + balancer.view.policy.unreachable_for + kTick;
+  const auto later = kStart + balancer.view.policy.unreachable_timeout + kTick;
   for (auto now = kStart; now <= later; now += kStallCheck) NoteEvent(balancer.stall, now);
   BOOST_TEST(std::holds_alternative<AwaitSearch>(RoutePacket(balancer, packet, later)));
 }
