--- a/src/packets/internal/hearsay.cc
+++ b/src/packets/internal/gossip.cc
@@ -1,4 +1,4 @@
-#include "packets/hearsay.h"
+#include "packets/gossip.h"
 
 #include <algorithm>
 #include <span>
--- a/src/packets/internal/greeting.cc
+++ b/src/packets/internal/hello_schedule.cc
@@ -1,4 +1,4 @@
-#include "packets/greeting.h"
+#include "packets/hello_schedule.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "base/overloaded.h"
-#include "packets/greeting.h"
 #include "packets/hello.h"
+#include "packets/hello_schedule.h"
 
 namespace anvildrum::packets::tests {
 namespace {
--- a/src/packets/tests/reach_test.cc
+++ b/src/packets/tests/reach_test.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "packets/balancer.h"
-#include "packets/hearsay.h"
+#include "packets/gossip.h"
 #include "packets/search.h"
 
 namespace anvildrum::packets {
