--- a/src/packetd/balancer_node.h
+++ b/src/packetd/balancer_node.h
@@ -115,7 +115,7 @@
   base::MarkClock mark_clock;
   std::map<packets::Address, KnownBalancer> balancers;           ///< senders of recent hellos
   packets::Address last_holder = 0;                              ///< last named holder
-  packets::GossipState hearsay;                                  ///< rotation of reported agents
+  packets::GossipState gossip;                                   ///< rotation of reported agents
   std::map<base::ServiceId, packets::ServiceHello> last_hellos;  ///< to agents, by service
   bool records_read = false;
   std::optional<base::TimePoint> platform_lost_at;
--- a/src/packetd/internal/balancer_node.cc
+++ b/src/packetd/internal/balancer_node.cc
@@ -296,8 +296,8 @@
 auto BalancerNode::SendPeriodicHellos(base::TimePoint now) -> void {
   std::erase_if(this->balancers,
                 [&](const auto& entry) { return now - entry.second.mark.at > kBalancerExpiry; });
-  const auto hearsay = packets::NextGossip(this->core.view, this->hearsay, now);
-  this->SendHello(this->Balancers(), hearsay, now);
+  const auto gossip = packets::NextGossip(this->core.view, this->gossip, now);
+  this->SendHello(this->Balancers(), gossip, now);
 }
 
 auto BalancerNode::Balancers() const -> std::set<packets::Address> {
--- a/src/packets/gossip.h
+++ b/src/packets/gossip.h
@@ -12,7 +12,7 @@
 namespace anvildrum::packets {
 
 /// Maximum number of agents in one message. Together with the other contents of a hello, including
-/// kMostDrained domains, no datagram is longer than an Ethernet frame.
+/// kMaxDrained domains, no datagram is longer than an Ethernet frame.
 inline constexpr auto kMaxGossipPeers = std::size_t{75};
 
 /// Number of agents that are no longer new and that each message repeats, round robin. Lost entries
--- a/src/packets/internal/hello.cc
+++ b/src/packets/internal/hello.cc
@@ -61,7 +61,7 @@
     hello.service = service;
     hello.drained = view.drained;
     hello.cold_per_second = ColdPerSecond(balancer, service);
-    hello.every = view.greet_every;
+    hello.every = view.hello_interval;
     hello.digest = DigestOf(hello);
     hello.complete =
         RecordsAreFresh(balancer, now) && IsComplete(view, service, running_since, now);
--- a/src/packets/internal/hello_schedule.cc
+++ b/src/packets/internal/hello_schedule.cc
@@ -16,18 +16,19 @@
 // Sort key; the smallest comes first. Suspected members precede the others, because each check
 // without their answer delays the decision about them.
 auto HelloPriority(const Member& member) -> std::tuple<bool, base::TimePoint, Address> {
-  return {member.suspected_at == base::TimePoint{}, member.greeted_at, member.agent};
+  return {member.suspected_at == base::TimePoint{}, member.hello_sent_at, member.agent};
 }
 
 }  // namespace
 
 auto DueHellos(View& view, const HelloPolicy& policy, base::TimePoint running_since,
                base::TimePoint now) -> std::vector<Address> {
-  view.greet_every = PeriodFor(policy, view.members.size());
+  view.hello_interval = PeriodFor(policy, view.members.size());
   auto due = std::vector<Member*>{};
   for (auto& [agent, member] : view.members) {
-    const auto told = member.told_changes == view.changes && member.greeted_at != base::TimePoint{};
-    const auto calm = told && now - member.greeted_at < view.greet_every;
+    const auto told =
+        member.told_changes == view.changes && member.hello_sent_at != base::TimePoint{};
+    const auto calm = told && now - member.hello_sent_at < view.hello_interval;
     if (calm && !IsAwaited(view, member, running_since, now)) continue;
     due.push_back(&member);
   }
@@ -36,7 +37,7 @@
   if (due.size() > policy.max_per_check) due.resize(policy.max_per_check);
   auto agents = std::vector<Address>{};
   for (auto* member : due) {
-    member->greeted_at = now;
+    member->hello_sent_at = now;
     member->told_changes = view.changes;
     agents.push_back(member->agent);
   }
--- a/src/packets/internal/reach.cc
+++ b/src/packets/internal/reach.cc
@@ -7,7 +7,7 @@
 
 auto IsSilent(const View& view, const ReachPolicy& policy, const Member& member,
               base::TimePoint running_since, base::TimePoint now) -> bool {
-  const auto silent_for = std::max<base::Duration>(policy.silent_for, view.greet_every * 3 / 2);
+  const auto silent_for = std::max<base::Duration>(policy.silent_for, view.hello_interval * 3 / 2);
   return now - std::max({member.heard, member.known_since, running_since}) > silent_for;
 }
 
--- a/src/packets/internal/view.cc
+++ b/src/packets/internal/view.cc
@@ -121,7 +121,8 @@
 
 auto IsAlive(const View& view, const Member& member, base::TimePoint now) -> bool {
   if (IsSuspected(member) && now - member.suspected_at > view.policy.suspect_timeout) return false;
-  const auto alive_timeout = std::max(view.policy.alive_timeout, kReportsMissed * view.greet_every);
+  const auto alive_timeout =
+      std::max(view.policy.alive_timeout, kReportsMissed * view.hello_interval);
   return WasHeard(member) && now - member.heard <= alive_timeout;
 }
 
@@ -175,7 +176,7 @@
                base::TimePoint now) -> bool {
   const auto last =
       std::max({member.heard, member.known_since, member.suspected_at, running_since});
-  if (now - last > view.policy.greet_for) return false;
+  if (now - last > view.policy.frequent_hello_time) return false;
   return IsSuspected(member) || !IsAlive(view, member, now);
 }
 
--- a/src/packets/tests/control_test.cc
+++ b/src/packets/tests/control_test.cc
@@ -28,7 +28,7 @@
   BOOST_TEST(std::get<Hello>(*read).parts == 3U);
 }
 
-// Hellos and reports carry the domains that an operator has drained. Domains beyond kMostDrained
+// Hellos and reports carry the domains that an operator has drained. Domains beyond kMaxDrained
 // are left out so that the message fits into a frame; balancers rely on the list that they have
 // read.
 BOOST_AUTO_TEST_CASE(drained_domains_and_confirmations_come_back) {
--- a/src/packets/tests/interleaving_events.cc
+++ b/src/packets/tests/interleaving_events.cc
@@ -164,7 +164,7 @@
 // next start has been heard of.
 auto World::SpeakLate(std::size_t index, bool leave) -> void {
   const auto& target = this->agents[index].target;
-  const auto heartbeat = this->BeatOf(target, target.heartbeats + 1);
+  const auto heartbeat = this->MakeHeartbeat(target, target.heartbeats + 1);
   this->Later(milliseconds{this->Draw(4000)}, [this, index, heartbeat, leave] {
     auto& site = this->agents[index];
     if (!site.up) return;
--- a/src/packets/tests/interleaving_world.cc
+++ b/src/packets/tests/interleaving_world.cc
@@ -124,7 +124,7 @@
 auto World::Heartbeat(AgentSite& site) -> void {
   auto& target = site.target;
   if (!target.alive) return;
-  const auto heartbeat = this->BeatOf(target, ++target.heartbeats);
+  const auto heartbeat = this->MakeHeartbeat(target, ++target.heartbeats);
   if (!site.up) return;  // the call fails; the next one continues the count
   if (TakeHeartbeat(site.core, heartbeat, this->now) != HeartbeatOutcome::kChanged) return;
   this->Record(site.core.own, target.service);
@@ -133,7 +133,8 @@
   }
 }
 
-auto World::BeatOf(const Target& target, std::uint64_t sequence) const -> packets::Heartbeat {
+auto World::MakeHeartbeat(const Target& target, std::uint64_t sequence) const
+    -> packets::Heartbeat {
   auto incarnation = Incarnation{target.id, std::nullopt};
   if (this->options.same_id) incarnation.started_ms = target.incarnation;
   return {.incarnation = incarnation,
@@ -325,7 +326,7 @@
   }
 }
 
-auto World::TellLocated(const AgentSite& agent, const FlowId& flow, std::uint16_t origin) -> void {
+auto World::SendLocated(const AgentSite& agent, const FlowId& flow, std::uint16_t origin) -> void {
   for (const auto balancer : BalancersOf(agent.core, origin)) {
     const auto index = balancer - kFirstBalancer;
     this->ToBalancerCore(index, [this, index, flow, own = agent.core.own](auto& core) {
@@ -365,13 +366,13 @@
       base::Overloaded{
           [&](const DeliverToTarget& deliver) {
             if (deliver.located) {
-              this->TellLocated(site, FlowFromClient(packet), packet.stamp.origin);
+              this->SendLocated(site, FlowFromClient(packet), packet.stamp.origin);
             }
             this->ToTarget(site, packet);
           },
           [&](const SendToClient& reply) {
             if (reply.located_for) {
-              this->TellLocated(site, FlowFromTarget(packet), *reply.located_for);
+              this->SendLocated(site, FlowFromTarget(packet), *reply.located_for);
             }
             this->ToClient(packet);
           },
--- a/src/packets/tests/interleaving_world.h
+++ b/src/packets/tests/interleaving_world.h
@@ -134,7 +134,7 @@
   auto Hello(BalancerSite& balancer, Address own) -> void;
   auto Say(Address agent, Address balancer, const packets::Hello& hello) -> void;
   auto Heartbeat(AgentSite& site) -> void;
-  auto BeatOf(const Target& target, std::uint64_t sequence) const -> packets::Heartbeat;
+  auto MakeHeartbeat(const Target& target, std::uint64_t sequence) const -> packets::Heartbeat;
   [[nodiscard]] auto MayBeUnheard(const AgentSite& site) const -> bool;
   auto SpeakLate(std::size_t index, bool leave) -> void;
   auto Record(Address agent, std::optional<base::ServiceId> service) -> void;
@@ -149,7 +149,7 @@
   auto Query(std::size_t index, const AddressedQuery& addressed) -> void;
   auto ToBalancerCore(std::size_t index, std::function<void(Balancer&)> take) -> void;
   auto Apply(std::size_t index, const std::vector<SearchOutcome>& outcomes) -> void;
-  auto TellLocated(const AgentSite& agent, const FlowId& flow, std::uint16_t origin) -> void;
+  auto SendLocated(const AgentSite& agent, const FlowId& flow, std::uint16_t origin) -> void;
   auto SendBack(const AgentSite& agent, const Packet& packet, bool by_target) -> void;
   auto ToAgent(Address agent, const Packet& packet) -> void;
   auto ToTarget(AgentSite& site, Packet packet) -> void;
--- a/src/packets/tests/search_rig.h
+++ b/src/packets/tests/search_rig.h
@@ -90,7 +90,7 @@
       }
       RefreshPeers(agent, this->now);
     }
-    this->greeted_at = this->now;
+    this->hello_sent_at = this->now;
   }
 
   auto Route(const Packet& packet) -> BalancerVerdict {
@@ -124,7 +124,7 @@
     this->balancer.records_at = this->now;
     NoteEvent(this->balancer.stall, this->now);
     for (auto& agent : this->agents) NoteEvent(agent.stall, this->now);
-    if (this->now - this->greeted_at < milliseconds{200}) return;
+    if (this->now - this->hello_sent_at < milliseconds{200}) return;
     this->SayHello();
     for (const auto& agent : this->agents) {
       if (this->cut.contains(agent.own)) continue;
@@ -179,7 +179,7 @@
   base::TimePoint now = kStart;
   std::vector<Agent> agents;
   Balancer balancer;
-  base::TimePoint greeted_at{};
+  base::TimePoint hello_sent_at{};
   std::size_t queries = 0;
   std::size_t probes = 0;
 };
--- a/src/packets/tests/view_test.cc
+++ b/src/packets/tests/view_test.cc
@@ -113,15 +113,15 @@
 }
 
 // A balancer has started after a loss of power and knows agents by their records. An agent that
-// does not answer yet is greeted again soon, but not for ever, since its instance may be gone.
+// does not answer yet is sent another hello soon, but not for ever, since its instance may be gone.
 BOOST_AUTO_TEST_CASE(members_that_are_silent_are_asked_again_for_a_while) {
   auto view = View{};
   AddRecord(view, kAgent, kDesk, kStart);
   const auto awaited = [&](base::TimePoint running_since, base::TimePoint now) {
     return IsAwaited(view, view.members.at(kAgent), running_since, now);
   };
-  BOOST_TEST(awaited(kStart, kStart + view.policy.greet_for));
-  const auto later = kStart + view.policy.greet_for + milliseconds{1};
+  BOOST_TEST(awaited(kStart, kStart + view.policy.frequent_hello_time));
+  const auto later = kStart + view.policy.frequent_hello_time + milliseconds{1};
   BOOST_TEST(!awaited(kStart, later));
   BOOST_TEST(awaited(later, later));  // this process was paused
   TakeReport(view, ReportOf(kDesk, 7, 1), later);
--- a/src/packets/types/query.h
+++ b/src/packets/types/query.h
@@ -25,7 +25,7 @@
   Address agent = 0;
   base::ServiceId service;  ///< of the agent
   std::uint32_t token = 0;
-  /// The agent has known the same other agents for a while, and every balancer that greets it
+  /// The agent has known the same other agents for a while, and every balancer that sends it hellos
   /// reports that no other agent may hold a flow.
   bool settled = false;
   std::uint32_t peers_digest = 0;     ///< digest of the agents that it knows, as DigestOf(Hello)
--- a/src/packets/view.h
+++ b/src/packets/view.h
@@ -19,11 +19,11 @@
   base::ServiceId service;
   bool listed = false;  ///< has a record at the platform
   base::TimePoint known_since{};
-  base::TimePoint heard{};         ///< time of the last report; the epoch: never
-  base::TimePoint suspected_at{};  ///< gets no opening until it reports; the epoch: not suspected
-  base::TimePoint restarted_at{};  ///< first report after a restart; the epoch: none
-  base::TimePoint greeted_at{};    ///< last hello; the epoch: none yet
-  base::TimePoint probed_at{};     ///< last connection attempt to its machine; the epoch: never
+  base::TimePoint heard{};          ///< time of the last report; the epoch: never
+  base::TimePoint suspected_at{};   ///< gets no opening until it reports; the epoch: not suspected
+  base::TimePoint restarted_at{};   ///< first report after a restart; the epoch: none
+  base::TimePoint hello_sent_at{};  ///< last hello; the epoch: none yet
+  base::TimePoint probed_at{};      ///< last connection attempt to its machine; the epoch: never
   /// Start of the connection attempt that the agent's machine did not answer. If this is the epoch
   /// or before `heard`, the agent has answered since.
   base::TimePoint unreachable_at{};
@@ -35,7 +35,7 @@
 
 struct ViewPolicy {
   /// A member counts as not alive after this long without a report, or after kReportsMissed
-  /// greeting intervals if these take longer.
+  /// hello intervals if these take longer.
   base::Duration alive_timeout = base::milliseconds{1000};
   /// A member that left an opening or a query unanswered gets no further opening until it reports,
   /// and is asked for a report at each check. It counts as not alive after this long without a
@@ -55,9 +55,9 @@
   /// How long another balancer's report that a member is unreachable stays valid. The time spans
   /// two of the balancer's messages, since one of them may be lost.
   base::Duration peer_report_ttl = base::milliseconds{2500};
-  /// How long a known member that is not alive is greeted more often. It may be starting, or a lost
-  /// datagram may have left it out.
-  base::Duration greet_for = base::seconds{2};
+  /// How long a known member that is not alive is sent hellos more often. It may be starting, or a
+  /// lost datagram may have left it out.
+  base::Duration frequent_hello_time = base::seconds{2};
   /// How long a restarted agent is told of its restart and of what it has to know about its target
   /// from before. The time is longer than the agent's first two heartbeats.
   base::Duration restarted_for = base::seconds{5};
@@ -65,7 +65,7 @@
   base::Duration forget_after = base::seconds{10};
 };
 
-/// Number of greeting intervals without a report after which a member counts as not alive, so that
+/// Number of hello intervals without a report after which a member counts as not alive, so that
 /// three reports may be lost.
 inline constexpr auto kReportsMissed = 4;
 
@@ -84,8 +84,8 @@
   /// a member may hold flows, restarts, moves to another service or domain, and changes of the
   /// drained domains.
   std::uint64_t changes = 0;
-  /// Interval between two hellos to a member while nothing changes; see DueGreetings.
-  base::Duration greet_every = base::milliseconds{250};
+  /// Interval between two hellos to a member while nothing changes; see DueHellos.
+  base::Duration hello_interval = base::milliseconds{250};
 };
 
 /// Notes that the platform has a record of the agent; adds the agent if it is unknown.
@@ -155,9 +155,10 @@
 auto FirstAway(const View& view, base::ServiceId service, base::TimePoint running_since,
                base::TimePoint now) -> Address;
 
-/// Whether the member is to be greeted more often: it is suspected or not alive, and it was last
-/// heard, first known or first suspected within ViewPolicy::greet_for. The time counts from
-/// `running_since` of this process at the earliest, which may have been paused during the reports.
+/// Whether the member is to be sent hellos more often: it is suspected or not alive, and it was
+/// last heard, first known or first suspected within ViewPolicy::frequent_hello_time. The time
+/// counts from `running_since` of this process at the earliest, which may have been paused during
+/// the reports.
 auto IsAwaited(const View& view, const Member& member, base::TimePoint running_since,
                base::TimePoint now) -> bool;
 
