--- a/src/packets/hello_schedule.h
+++ b/src/packets/hello_schedule.h
@@ -24,7 +24,7 @@
 /// Returns the members to which a hello is due now and marks it as sent. Suspected members come
 /// first, then the others by the time of their last hello, oldest first. A hello is due to a member
 /// that has not been told of the last change, that is awaited, or whose last hello was a period
-/// ago. Sets View::greet_every. Called at each stall check.
+/// ago. Sets View::hello_interval. Called at each stall check.
 ///
 /// Safeguard: when every change sent a hello to all agents, 91 balancers sent hellos to 204 agents
 /// up to twenty times a second while targets were replaced. Hellos and lists filled links of
