--- a/src/packets/internal/agent_peers.cc
+++ b/src/packets/internal/agent_peers.cc
@@ -153,8 +153,8 @@
 
 auto HoldsConfigurationCopy(const Agent& agent) -> bool {
   auto places = agent.peers;
-  for (auto& place : places)
-    place.domain = 0;  // ignores the domains, so that the copies are spread over all of them
+  // The order ignores the domains, so that the copies are spread over all of them.
+  for (auto& place : places) place.domain = 0;
   const auto order = RendezvousOrder({}, places);
   const auto keepers = std::span{order}.first(std::min(order.size(), kConfigurationCopies));
   return Contains(keepers, agent.own);
--- a/src/packets/internal/agent_query.cc
+++ b/src/packets/internal/agent_query.cc
@@ -22,8 +22,8 @@
 // as the target's start, or a flow that the target holds is reset. A balancer that knew the earlier
 // process reports it. After a power loss no balancer knows one, and there are no earlier flows.
 auto KnowsFlows(const Agent& agent, base::TimePoint now) -> bool {
-  if (StateOf(agent, now) == TargetState::kAbsent)
-    return false;  // it has left: its flows are uncertain
+  // The flows of a target that has left are uncertain.
+  if (StateOf(agent, now) == TargetState::kAbsent) return false;
   if (agent.overflowed) return false;
   const auto runs_for_long =
       agent.started_at != base::TimePoint{} && now - agent.started_at > agent.policy.flow_age;
--- a/src/packets/internal/search.cc
+++ b/src/packets/internal/search.cc
@@ -41,8 +41,7 @@
 auto Conclude(Balancer& balancer, const FlowId& flow, base::TimePoint now) -> SearchOutcome {
   const auto& search = balancer.searches.flows.at(flow);
   if (!search.expects_answer) return Fail(balancer, flow, SearchFailure::kNoData);
-  if (!search.conclusive)
-    return Fail(balancer, flow, SearchFailure::kUnsettled, search.inconclusive_agent);
+  if (!search.conclusive) return Fail(balancer, flow, SearchFailure::kUnsettled, search.undecided);
   const auto away =
       FirstAway(balancer.view, search.services.front(), balancer.stall.running_since, now);
   if (away != 0 || !KnowsAllAgents(balancer, now)) {
@@ -75,8 +74,7 @@
                    std::vector<Candidate> unsure, base::TimePoint now) -> SearchOutcome {
   auto& search = balancer.searches.flows.at(flow);
   search.conclusive = round.conclusive && round.missing.empty();
-  search.inconclusive_agent =
-      round.missing.empty() ? round.inconclusive_agent : round.missing.front();
+  search.undecided = round.missing.empty() ? round.undecided : round.missing.front();
   search.probed = std::move(unsure);
   if (search.probed.empty() && !round.missing.empty()) {
     return Fail(balancer, flow, SearchFailure::kNoAnswer, round.missing.front());
@@ -162,7 +160,7 @@
 // Marks the round as inconclusive: after the agent's answer, a flow that no agent holds may still
 // not be lost.
 auto MarkInconclusive(QueryRound& round, Address agent) -> void {
-  if (std::exchange(round.conclusive, false)) round.inconclusive_agent = agent;
+  if (std::exchange(round.conclusive, false)) round.undecided = agent;
 }
 
 // Returns the flow at an index from an answer, or nullptr if the index is out of range.
@@ -329,7 +327,7 @@
       search.probed, [&](const Candidate& candidate) { return candidate.agent == agent; });
   if (left != 0 && !by_target) {
     search.conclusive = false;
-    search.inconclusive_agent = agent;
+    search.undecided = agent;
   }
   if (left == 0 || !search.probed.empty()) return {};
   if (search.all_agents) return {Conclude(balancer, flow, now)};
--- a/src/packets/types/search.h
+++ b/src/packets/types/search.h
@@ -69,7 +69,7 @@
   std::vector<base::ServiceId> services;  ///< services that may hold the flow
   std::uint32_t round = 0;                ///< token of the QueryRound
   bool conclusive = false;                ///< while probing: no other agent may hold the flow
-  Address inconclusive_agent = 0;         ///< an agent that leaves the result open
+  Address undecided = 0;                  ///< an agent that leaves the result open
   /// An agent whose target may hold the flow half open, so that its silence proves nothing.
   Address withheld = 0;
   std::vector<Candidate> probed;  ///< agents that have not returned the packet yet
@@ -80,10 +80,10 @@
   std::vector<FlowId> flows;
   std::vector<base::ServiceId> services;
   bool all_agents = false;
-  bool conclusive = false;         ///< by the answers so far, a flow that no target holds is lost
-  Address inconclusive_agent = 0;  ///< first agent whose answer leaves this open
-  std::uint32_t digest = 0;        ///< digest of the agents that were queried
-  std::vector<Address> missing;    ///< agents that have not answered, sorted
+  bool conclusive = false;       ///< by the answers so far, a flow that no target holds is lost
+  Address undecided = 0;         ///< first agent whose answer leaves this open
+  std::uint32_t digest = 0;      ///< digest of the agents that were queried
+  std::vector<Address> missing;  ///< agents that have not answered, sorted
   std::vector<std::vector<Candidate>> unsure;  ///< may hold a flow, by index in `flows`
   base::TimePoint asked_at{};
   base::TimePoint sent_at{};
